--- a/instance/directory.go
+++ b/instance/directory.go
@@ -7,156 +7,165 @@
 )
 
 const (
-	// ownerEvery is the least time between two questions to the store who holds
-	// the lease.
-	ownerEvery = time.Second
-	// candidatesSilent is for how long an instance that knows candidates asks only
-	// them who holds the lease: as long as another takes to win it. Where one of 295
-	// instances held it and was lost, all others asked the store each second.
-	candidatesSilent = 5 * time.Second
-	// ownerEveryMany is the least time between two questions to the store where the
-	// candidates are silent, for each instance that there is.
-	ownerEveryMany = 10 * time.Millisecond
-	// mostSilent is how many words in a row a holder may leave unanswered until
-	// another is looked for in the store: where many instances press upon a holder
-	// that is busy for a moment, all their questions to the store gain nothing.
-	mostSilent = 2
-	// askFirst is how long after its start an instance with a whole core asks the
-	// store who holds the lease; one with less of a core waits longer, to askMost at
-	// most: where all start at once, most then find it held.
-	askFirst = 150 * time.Millisecond
-	askMost  = time.Second
-	// standMost bounds how long after its start an instance may first stand for the
-	// lease, if the store names no holder. One with a whole core does when it asks,
-	// one with less waits longer by the square, so that those with much processor
-	// have settled who gets it: each that joins may have the platform pass it on,
-	// and where 295 instances stood within a second, the lease passed through four
-	// hands in six seconds.
-	standMost = 4 * time.Second
+	// minHolderQueryInterval is the minimum time between two queries of the store for the
+	// lease holder.
+	minHolderQueryInterval = time.Second
+	// candidateSilenceTimeout is how long an instance that knows candidates asks only
+	// them for the holder. It is the time that another instance takes to win the lease.
+	// Without this limit, when the holder among 295 instances was lost, all others
+	// queried the store each second.
+	candidateSilenceTimeout = 5 * time.Second
+	// holderQueryIntervalPerInstance, times the number of instances, is the minimum time
+	// between two queries of the store while the candidates are silent.
+	holderQueryIntervalPerInstance = 10 * time.Millisecond
+	// maxUnanswered is the number of consecutive syncs without an answer after which the
+	// holder is given up. If many instances overload a holder for a moment, their queries
+	// of the store would gain nothing.
+	maxUnanswered = 2
+	// baseQueryDelay is the time from its start until an instance with one core first
+	// queries the store for the lease holder. With less than a core the delay is longer,
+	// up to maxQueryDelay: when all instances start at the same time, most then find the
+	// lease held.
+	baseQueryDelay = 150 * time.Millisecond
+	maxQueryDelay  = time.Second
+	// maxCompeteDelay bounds the time from its start until an instance may compete for
+	// the lease if the store names no holder. With one core the instance competes after
+	// baseQueryDelay; with less, the delay grows with the inverse square of the cores, so
+	// that the instances with the most processor settle the lease first. Each instance
+	// that joins may make the platform reassign the lease: when 295 instances competed
+	// within a second, the lease had four holders in six seconds.
+	maxCompeteDelay = 4 * time.Second
 )
 
-// askAfter is how long after its start an instance first asks who holds the lease.
-func askAfter(cores float64) time.Duration {
+// queryDelay returns the time from its start until an instance first queries for the
+// lease holder.
+func queryDelay(cores float64) time.Duration {
 	if cores <= 0 {
-		return askFirst
+		return baseQueryDelay
 	}
-	return min(time.Duration(float64(askFirst)/cores), askMost)
+	return min(time.Duration(float64(baseQueryDelay)/cores), maxQueryDelay)
 }
 
-// standAfter is how long after its start an instance may first stand for the lease.
-func standAfter(cores float64) time.Duration {
+// competeDelay returns the time from its start until an instance may compete for the
+// lease.
+func competeDelay(cores float64) time.Duration {
 	if cores <= 0 {
-		return askFirst
+		return baseQueryDelay
 	}
-	return min(time.Duration(float64(askFirst)/(cores*cores)), standMost)
+	return min(time.Duration(float64(baseQueryDelay)/(cores*cores)), maxCompeteDelay)
 }
 
-// directory decides whom an instance speaks to: the lease holder where it is
-// known, else a candidate that may know it, else the store, to learn who it is.
-// It does no I/O. It is not safe for concurrent use.
-type directory struct {
-	domain string
-	begun  time.Time // the store isn't asked before
-	stands time.Time // nor does the instance stand for the lease before
+// holderLocator decides which instance to sync with: the lease holder if known, else a
+// candidate that may know the holder. If neither helps, the holder is looked up in the
+// store. It does no I/O and is not safe for concurrent use.
+type holderLocator struct {
+	domain      string
+	queryFrom   time.Time // the store isn't queried earlier
+	competeFrom time.Time // the instance doesn't compete for the lease earlier
 
-	holder     string    // the holder's address; empty: not known
-	heardAt    time.Time // when the holder last answered
-	ordered    time.Time // when the holder last said that it may order, or was found
-	named      bool      // it is the store that named it, and it hasn't answered since
-	silent     int       // words in a row that the holder didn't answer
-	candidates []string  // their addresses, those of the own failure domain first
-	next       int       // of candidates, to be asked
-	answeredAt time.Time // when the holder or a candidate last answered
-	askedAt    time.Time // when the store was last asked
+	holder           string    // the holder's address; empty: unknown
+	holderAnsweredAt time.Time // when the holder last answered
+	orderingAt       time.Time // when the holder last reported that it may order, or became known
+	namedByStore     bool      // the store named the holder, and it hasn't answered since
+	unanswered       int       // consecutive syncs that the holder didn't answer
+	candidates       []string  // addresses, those of this instance's failure domain first
+	nextCandidate    int       // index, modulo the number of candidates, of the next one to ask
+	lastAnswerAt     time.Time // when the holder or a candidate last answered
+	storeQueriedAt   time.Time // when the store was last queried
 }
 
-// learn takes in the candidates.
-func (d *directory) learn(candidates residency.Candidates) {
+// update replaces the candidates.
+func (d *holderLocator) update(candidates residency.Candidates) {
 	d.candidates = d.candidates[:0]
-	for _, near := range []bool{true, false} {
+	for _, sameDomain := range []bool{true, false} {
 		for _, c := range candidates {
-			if (c.Domain == d.domain) == near {
+			if (c.Domain == d.domain) == sameDomain {
 				d.candidates = append(d.candidates, c.Addr)
 			}
 		}
 	}
-	d.next = 0
+	d.nextCandidate = 0
 }
 
-// peer returns the instance to speak to, empty if none is known. A candidate
-// itself, which stands, asks the store and no other.
-func (d *directory) peer(stands bool) string {
-	if d.holder != "" || stands || len(d.candidates) == 0 {
+// nextPeer returns the address of the instance to sync with, empty if none is known. An
+// instance that competes for the lease queries the store and asks no candidates.
+func (d *holderLocator) nextPeer(competes bool) string {
+	if d.holder != "" || competes || len(d.candidates) == 0 {
 		return d.holder
 	}
-	addr := d.candidates[d.next%len(d.candidates)]
-	d.next++
+	addr := d.candidates[d.nextCandidate%len(d.candidates)]
+	d.nextCandidate++
 	return addr
 }
 
-// asksStore says whether the store should be asked now who holds the lease.
-func (d *directory) asksStore(now time.Time, stands bool, instances int) bool {
-	if d.holder != "" || now.Before(d.begun) {
+// shouldQueryStore reports whether to query the store for the lease holder now, and if so
+// records the query.
+func (d *holderLocator) shouldQueryStore(now time.Time, competes bool, instances int) bool {
+	if d.holder != "" || now.Before(d.queryFrom) {
 		return false
 	}
-	every := ownerEvery
-	if !stands && len(d.candidates) > 0 {
-		if now.Sub(d.answeredAt) < candidatesSilent {
+	interval := minHolderQueryInterval
+	if !competes && len(d.candidates) > 0 {
+		if now.Sub(d.lastAnswerAt) < candidateSilenceTimeout {
 			return false
 		}
-		every = max(every, time.Duration(instances)*ownerEveryMany)
+		interval = max(interval, time.Duration(instances)*holderQueryIntervalPerInstance)
 	}
-	if now.Sub(d.askedAt) < every {
+	if now.Sub(d.storeQueriedAt) < interval {
 		return false
 	}
-	d.askedAt = now
+	d.storeQueriedAt = now
 	return true
 }
 
-// answered notes an answer of the holder.
-func (d *directory) answered(now time.Time, addr string, ordering, storeDown bool) {
-	d.holder, d.silent, d.named = addr, 0, false
-	d.heardAt, d.answeredAt = now, now
+// onHolderAnswer records an answer of the lease holder.
+func (d *holderLocator) onHolderAnswer(now time.Time, addr string, ordering, storeDown bool) {
+	d.holder, d.unanswered, d.namedByStore = addr, 0, false
+	d.holderAnsweredAt, d.lastAnswerAt = now, now
 	switch {
 	case ordering:
-		d.ordered = now
-	case !storeDown && now.Sub(d.ordered) > idleHolder:
-		d.holder = "" // it may have been cut off, and another have won the lease
+		d.orderingAt = now
+	case !storeDown && now.Sub(d.orderingAt) > holderIdleTimeout:
+		d.holder = "" // it may have been cut off, and another instance may have won the lease
 	}
 }
 
-// found notes who holds the lease, as the store says; empty: nobody does.
-func (d *directory) found(now time.Time, holder string) {
-	d.holder, d.ordered, d.named = holder, now, holder != ""
+// setStoreHolder records the holder that the store names; empty: there is none.
+func (d *holderLocator) setStoreHolder(now time.Time, holder string) {
+	d.holder, d.orderingAt, d.namedByStore = holder, now, holder != ""
 }
 
-// vacant says whether this instance should stand for the lease, after the store
-// named nobody, or one that isn't the holder any more: where all were killed the
-// store names the one of before for seconds, and those that waited for that to end
-// joined one after the other, each time with the lease passed on.
-func (d *directory) vacant(now time.Time) bool { return d.holder == "" && !now.Before(d.stands) }
+// shouldCompete reports whether this instance should compete for the lease, after the
+// store named no holder or one that no longer holds the lease. After all instances were
+// killed, the store names the previous holder for seconds.
+// Instances that waited for the end of that joined one after the other, and each join
+// reassigned the lease.
+func (d *holderLocator) shouldCompete(now time.Time) bool {
+	return d.holder == "" && !now.Before(d.competeFrom)
+}
 
-// referred notes an answer of an instance that doesn't hold the lease, and whom
-// it takes for the holder.
-func (d *directory) referred(now time.Time, holder string) {
-	d.answeredAt = now
+// onReferral records the answer of an instance that doesn't hold the lease. holder is the
+// holder's address as far as that instance knows, else empty.
+func (d *holderLocator) onReferral(now time.Time, holder string) {
+	d.lastAnswerAt = now
 	if holder != d.holder {
-		d.holder, d.ordered, d.silent = holder, now, 0
+		d.holder, d.orderingAt, d.unanswered = holder, now, 0
 	}
 }
 
-// failed notes that the instance at an address didn't answer, or refused, and says
-// whether it was the holder and is given up. A candidate is asked at once for
-// another holder, where one is known; the store only after some silence.
-func (d *directory) failed(addr string, refused, stands bool) (lost bool) {
+// onPeerFailure records that the instance at an address refused a Sync call or didn't
+// answer. It returns whether that instance was the holder and is now given up. The holder
+// is given up at once if it refused or if candidates can be asked for another holder, and
+// otherwise, since then the store has to be queried, after maxUnanswered failures.
+func (d *holderLocator) onPeerFailure(addr string, refused, competes bool) (lost bool) {
 	if addr != d.holder {
 		return false
 	}
-	d.silent++
-	asksOthers := !stands && len(d.candidates) > 0
-	if d.silent < mostSilent && !refused && !asksOthers {
+	d.unanswered++
+	askCandidates := !competes && len(d.candidates) > 0
+	if d.unanswered < maxUnanswered && !refused && !askCandidates {
 		return false
 	}
-	d.holder, d.silent = "", 0
+	d.holder, d.unanswered = "", 0
 	return true
 }
--- a/instance/directory_test.go
+++ b/instance/directory_test.go
@@ -10,102 +10,102 @@
 )
 
 var (
-	began = time.UnixMilli(1_000_000)
-	three = residency.Candidates{{Domain: "x", Addr: "x1"}, {Domain: "y", Addr: "y1"}, {Domain: "y", Addr: "y2"}}
+	testStart       = time.UnixMilli(1_000_000)
+	threeCandidates = residency.Candidates{{Domain: "x", Addr: "x1"}, {Domain: "y", Addr: "y1"}, {Domain: "y", Addr: "y2"}}
 )
 
-// knowing returns a directory that a holder has told of candidates.
-func knowing(holder string) *directory {
-	d := &directory{domain: "y"}
-	d.found(began, holder)
-	d.answered(began, holder, true, false)
-	d.learn(three)
+// locatorWithCandidates returns a locator that knows a holder, and candidates from it.
+func locatorWithCandidates(holder string) *holderLocator {
+	d := &holderLocator{domain: "y"}
+	d.setStoreHolder(testStart, holder)
+	d.onHolderAnswer(testStart, holder, true, false)
+	d.update(threeCandidates)
 	return d
 }
 
-func TestInstancesWithMoreProcessorMayStandForTheLeaseSooner(t *testing.T) {
-	const settled = 2 * time.Second // two renewals, and the way there and back
-	require.Less(t, standAfter(0.8)+askFirst+settled, standAfter(0.192), "however they draw")
-	require.Less(t, standAfter(0.8), standAfter(0.4))
-	require.Less(t, askAfter(0.8), askAfter(0.4))
-	require.Equal(t, askMost, askAfter(0.001))
-	require.Equal(t, standMost, standAfter(0.001))
-	require.Equal(t, askFirst, askAfter(0), "not said")
-	require.Equal(t, askFirst, standAfter(0))
+func TestInstancesWithMoreCoresCompeteForTheLeaseSooner(t *testing.T) {
+	const settled = 2 * time.Second // two renewals and their round trips
+	require.Less(t, competeDelay(0.8)+baseQueryDelay+settled, competeDelay(0.192), "with any jitter")
+	require.Less(t, competeDelay(0.8), competeDelay(0.4))
+	require.Less(t, queryDelay(0.8), queryDelay(0.4))
+	require.Equal(t, maxQueryDelay, queryDelay(0.001))
+	require.Equal(t, maxCompeteDelay, competeDelay(0.001))
+	require.Equal(t, baseQueryDelay, queryDelay(0), "cores unknown")
+	require.Equal(t, baseQueryDelay, competeDelay(0))
 }
 
-func TestTheStoreIsAskedOnceASecondUntilAHolderIsKnown(t *testing.T) {
-	d := &directory{begun: began}
-	require.False(t, d.asksStore(began.Add(-1), false, 9))
-	require.True(t, d.asksStore(began, false, 9))
-	require.False(t, d.asksStore(began.Add(ownerEvery-1), false, 9))
-	require.True(t, d.asksStore(began.Add(ownerEvery), false, 9))
-	d.found(began, "h")
-	require.False(t, d.asksStore(began.Add(time.Minute), false, 9))
-	require.Equal(t, "h", d.peer(false))
+func TestStoreIsQueriedOncePerSecondUntilAHolderIsKnown(t *testing.T) {
+	d := &holderLocator{queryFrom: testStart}
+	require.False(t, d.shouldQueryStore(testStart.Add(-1), false, 9))
+	require.True(t, d.shouldQueryStore(testStart, false, 9))
+	require.False(t, d.shouldQueryStore(testStart.Add(minHolderQueryInterval-1), false, 9))
+	require.True(t, d.shouldQueryStore(testStart.Add(minHolderQueryInterval), false, 9))
+	d.setStoreHolder(testStart, "h")
+	require.False(t, d.shouldQueryStore(testStart.Add(time.Minute), false, 9))
+	require.Equal(t, "h", d.nextPeer(false))
 }
 
-// A holder that is lost is looked for by the candidates, and the others ask those
-// of their own failure domain first.
-func TestALostHolderIsAskedForAtCandidates(t *testing.T) {
-	d := knowing("h")
-	require.True(t, d.failed("h", false, false), "a candidate can be asked at once")
-	now := began.Add(time.Second)
-	require.False(t, d.asksStore(now, false, 295))
-	require.Equal(t, []string{"y1", "y2", "x1", "y1"}, []string{d.peer(false), d.peer(false), d.peer(false), d.peer(false)})
-	require.Empty(t, d.peer(true), "a candidate asks no other")
-	require.True(t, d.asksStore(now, true, 295))
-	require.False(t, d.failed("y1", false, false), "it wasn't the holder")
-	d.referred(now, "")
+// After the holder is lost, the candidates query the store, and the other instances ask
+// the candidates, those of their own failure domain first.
+func TestCandidatesAreAskedForTheHolderAfterItIsLost(t *testing.T) {
+	d := locatorWithCandidates("h")
+	require.True(t, d.onPeerFailure("h", false, false), "a candidate can be asked at once")
+	now := testStart.Add(time.Second)
+	require.False(t, d.shouldQueryStore(now, false, 295))
+	require.Equal(t, []string{"y1", "y2", "x1", "y1"}, []string{d.nextPeer(false), d.nextPeer(false), d.nextPeer(false), d.nextPeer(false)})
+	require.Empty(t, d.nextPeer(true), "a candidate asks no other")
+	require.True(t, d.shouldQueryStore(now, true, 295))
+	require.False(t, d.onPeerFailure("y1", false, false), "it wasn't the holder")
+	d.onReferral(now, "")
 	require.Empty(t, d.holder)
-	d.referred(now, "h2")
-	require.Equal(t, "h2", d.peer(false))
+	d.onReferral(now, "h2")
+	require.Equal(t, "h2", d.nextPeer(false))
 }
 
-// Where all candidates are lost too, the store is asked after all, by each
-// instance as seldom as there are many.
-func TestSilentCandidatesDoNotHideTheStore(t *testing.T) {
-	d := knowing("h")
-	d.failed("h", false, false)
-	require.False(t, d.asksStore(began.Add(candidatesSilent-1), false, 295))
-	now := began.Add(candidatesSilent)
-	require.True(t, d.asksStore(now, false, 295))
-	require.False(t, d.asksStore(now.Add(295*ownerEveryMany-1), false, 295))
-	require.True(t, d.asksStore(now.Add(295*ownerEveryMany), false, 295))
+// If all candidates are lost too, each instance queries the store itself, at an interval
+// that grows with the number of instances.
+func TestStoreIsQueriedWhenCandidatesAreSilent(t *testing.T) {
+	d := locatorWithCandidates("h")
+	d.onPeerFailure("h", false, false)
+	require.False(t, d.shouldQueryStore(testStart.Add(candidateSilenceTimeout-1), false, 295))
+	now := testStart.Add(candidateSilenceTimeout)
+	require.True(t, d.shouldQueryStore(now, false, 295))
+	require.False(t, d.shouldQueryStore(now.Add(295*holderQueryIntervalPerInstance-1), false, 295))
+	require.True(t, d.shouldQueryStore(now.Add(295*holderQueryIntervalPerInstance), false, 295))
 }
 
-func TestAHolderThatMayNotOrderIsGivenUpAfterTheTimeThatANewOneWaits(t *testing.T) {
-	d := &directory{}
-	d.found(began, "h")
-	d.answered(began.Add(idleHolder), "h", false, false)
+func TestHolderThatMayNotOrderIsDroppedAfterIdleTimeout(t *testing.T) {
+	d := &holderLocator{}
+	d.setStoreHolder(testStart, "h")
+	d.onHolderAnswer(testStart.Add(holderIdleTimeout), "h", false, false)
 	require.Equal(t, "h", d.holder, "it may just have won")
-	d.answered(began.Add(2*idleHolder), "h", false, true)
+	d.onHolderAnswer(testStart.Add(2*holderIdleTimeout), "h", false, true)
 	require.Equal(t, "h", d.holder, "while the store is away there is no other")
-	d.answered(began.Add(2*idleHolder), "h", false, false)
+	d.onHolderAnswer(testStart.Add(2*holderIdleTimeout), "h", false, false)
 	require.Empty(t, d.holder)
 }
 
-func TestWithoutCandidatesABusyHolderIsAskedAgain(t *testing.T) {
-	d := &directory{}
-	d.found(began, "h")
-	require.False(t, d.failed("h", false, false))
-	require.True(t, d.failed("h", false, false))
-	d = knowing("h")
-	require.False(t, d.failed("h", false, true), "a candidate can only ask the store")
-	require.True(t, d.failed("h", true, true), "it said itself that it isn't")
+func TestBusyHolderIsRetriedWithoutCandidates(t *testing.T) {
+	d := &holderLocator{}
+	d.setStoreHolder(testStart, "h")
+	require.False(t, d.onPeerFailure("h", false, false))
+	require.True(t, d.onPeerFailure("h", false, false))
+	d = locatorWithCandidates("h")
+	require.False(t, d.onPeerFailure("h", false, true), "a candidate can only ask the store")
+	require.True(t, d.onPeerFailure("h", true, true), "it refused because it isn't the holder")
 }
 
-// Where all were killed the store goes on naming the holder of before.
-func TestAHolderThatTheStoreNamesAndThatIsNoneLeavesTheLeaseVacant(t *testing.T) {
-	d := &directory{stands: began}
-	require.True(t, d.vacant(began))
-	d.found(began, "h")
-	require.False(t, d.vacant(began))
-	require.True(t, d.named)
-	require.True(t, d.failed("h", true, false))
-	require.True(t, d.vacant(began))
-	require.False(t, d.vacant(began.Add(-1)), "those with more processor stand first")
-	d.found(began, "h")
-	d.answered(began, "h", true, false)
-	require.False(t, d.named, "it answered: if it is lost now, another candidate takes over")
+// After all instances were killed, the store still names the previous holder for seconds.
+func TestInstanceCompetesWhenTheStoreNamesAStaleHolder(t *testing.T) {
+	d := &holderLocator{competeFrom: testStart}
+	require.True(t, d.shouldCompete(testStart))
+	d.setStoreHolder(testStart, "h")
+	require.False(t, d.shouldCompete(testStart))
+	require.True(t, d.namedByStore)
+	require.True(t, d.onPeerFailure("h", true, false))
+	require.True(t, d.shouldCompete(testStart))
+	require.False(t, d.shouldCompete(testStart.Add(-1)), "instances with more cores compete first")
+	d.setStoreHolder(testStart, "h")
+	d.onHolderAnswer(testStart, "h", true, false)
+	require.False(t, d.namedByStore, "it answered: if it is lost now, another candidate takes over")
 }
--- a/instance/era.go
+++ b/instance/era.go
@@ -46,14 +46,14 @@
 	i.log.WithFields(logrus.Fields{
 		"era": era, "before": old, "reported_by": reportedBy, "servers": len(i.listed), "confirmed_ms": ageMs(i.configConfirmedAt),
 	}).Warn("store restored from an older copy")
-	i.configConfirmedAt, i.told.confirmedAt = time.Time{}, time.Time{}
-	if i.configRead != nil {
-		i.configRead()
+	i.configConfirmedAt, i.peerStatus.confirmedAt = time.Time{}, time.Time{}
+	if i.cancelConfigRead != nil {
+		i.cancelConfigRead()
 	}
 	i.mu.Unlock()
 	i.metrics.storeEras.Inc()
 	i.lease.ObserveEra(era)
-	i.servers.storeRestored(time.Now())
+	i.servers.onStoreRestored(time.Now())
 	return eraAdvanced
 }
 
--- a/instance/era_test.go
+++ b/instance/era_test.go
@@ -113,12 +113,12 @@
 // A newer era reported by another instance invalidates positions and confirmations; an
 // older one is stale and doesn't replace it.
 func TestAnEraIsLearnedFromOtherInstances(t *testing.T) {
-	i := toldInstance(time.Now())
+	i := newInformedInstance(time.Now())
 	i.log, i.metrics = quietLog(), newMetrics()
 	require.Equal(t, eraCurrent, i.observeEra(4, "store"), "the first era")
 	require.Equal(t, eraAdvanced, i.observeEra(5, "instance"))
-	require.Equal(t, unread, i.servers.position())
-	require.False(t, i.configTold(time.Now()), "confirmations from an earlier era are invalid")
+	require.Equal(t, noPosition, i.servers.position())
+	require.False(t, i.configConfirmedByPeer(time.Now()), "confirmations from an earlier era are invalid")
 	require.Equal(t, eraStale, i.observeEra(4, "instance"))
 	require.EqualValues(t, 5, i.storeEra())
 }
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -13,125 +13,130 @@
 )
 
 const (
-	// configWait is how long one read waits for a configuration while another
-	// instance confirms that no newer one exists.
+	// configWait is how long one read waits for a configuration while another instance
+	// confirms that no newer one exists.
 	configWait = 4 * time.Second
-	// configWaitMany is the same where there are more than manyInstances: their
-	// reads are a good part of the store's.
+	// configWaitMany replaces configWait if there are more than manyInstances, whose
+	// reads are a large part of the store's load.
 	configWaitMany = 10 * time.Second
-	// configWaitHolder is the same for the instances whose reads confirm the
+	// configWaitHolder replaces configWait on the instances whose reads confirm the
 	// configuration for others: the lease holder, and the candidates while no other
 	// instance confirms it to them.
 	configWaitHolder = 700 * time.Millisecond
-	// configWaitUnconfirmed is the same for the remaining instances while no other
+	// configWaitUnconfirmed replaces configWait on the remaining instances while no other
 	// instance confirms the configuration to them.
 	configWaitUnconfirmed = 1200 * time.Millisecond
-	// configSpacing is the least time between two reads of configurations:
-	// changes come sixteen a second at times, and each is decoded whole.
-	configSpacing = 150 * time.Millisecond
-	// configToldFor is how long the store's confirmation that a version is the
+	// minConfigReadInterval is the minimum time between two reads of configurations:
+	// there can be sixteen changes per second, and each is decoded in full.
+	minConfigReadInterval = 150 * time.Millisecond
+	// configConfirmationTTL is how long the store's confirmation that a version is the
 	// newest remains valid. Until it expires, an answer of the lease holder or a
-	// candidate replaces a read. Once it has expired, a waiting read is canceled and
-	// the newest version is read: an unresponsive store or connection must not hide
-	// a configuration for longer than the two seconds that the platform allows.
-	configToldFor = 1500 * time.Millisecond
-	// storeProbe is how often an instance that the store turns away looks whether it
-	// is back, while another that reaches the store tells it what is new there. A
-	// third of 295 instances that each tried twice a second were a good part of a
-	// day's calls.
-	storeProbe = 3 * time.Second
-	// configSpacingTold is configSpacing where instances are told of new versions:
-	// more than a word apart, so that a burst of changes is read a few times only.
-	configSpacingTold = 600 * time.Millisecond
-	// serversSpacing is the least time between two reads of servers' entries.
-	// Each server writes about once a second, so a read that only waited would
-	// return dozens of times a second; a leaving server must be known within
-	// two seconds.
-	serversSpacing = 400 * time.Millisecond
-	// behindAge is how old a read has to be to be ended because other instances
-	// have a newer configuration: a read that is only slow, on a link that takes a
-	// second for a dozen large configurations, must not be ended again and again.
-	behindAge = 1500 * time.Millisecond
-	// manyInstances is up to how many instances each reads the entries that often.
-	// With more of them the reads are spaced further apart, up to spacingMost
-	// times: 72 instances made 220 calls a second to the store, nearly all of them
-	// these. A leaving server is still known well within two seconds.
-	manyInstances = 12
-	spacingMost   = 3.0
-	// serversWait is how long one read waits for entries, and readSlack how much
-	// longer it may take: together they bound how long it goes unnoticed that the
-	// store is away, or back.
-	serversWait = 800 * time.Millisecond
-	readSlack   = 800 * time.Millisecond
-	// holderWait is how long a read of the lease holder waits: what others hear
-	// from it must not be older than fedFor where servers write all at once.
-	holderWait = 300 * time.Millisecond
-	// returnLag is how long after the last read that failed was begun the store, or
-	// the way to it, is taken to have come back. It may have been at any time until
-	// the first read that succeeds, up to two seconds later; servers whose entries
-	// went are kept for two seconds from then, and must not be used any more three
-	// seconds after the return, when the bound on servers that leave holds again.
-	returnLag = 400 * time.Millisecond
-	// fedPoll is how often an instance looks whether the lease holder's word still
-	// stands in for a read.
-	fedPoll = 100 * time.Millisecond
-	// retryFirst and retryMost bound the pause after a failed read.
-	retryFirst = 100 * time.Millisecond
-	retryMost  = 800 * time.Millisecond
-	// newestTimeout bounds a read of everything. It leaves time for a second read
-	// when one sent just before the store's return is never answered.
-	newestTimeout = 2 * time.Second
+	// candidate replaces a read. Once it has expired, a waiting read is canceled and the
+	// newest version is read: an unresponsive store or connection must not hide a
+	// configuration for longer than the two seconds that the platform allows.
+	configConfirmationTTL = 1500 * time.Millisecond
+	// storeProbeInterval is how often an instance that can't reach the store checks
+	// whether the store is back, while an instance that reaches it reports what is new
+	// there. When a third of 295 instances each retried twice per second, their retries
+	// were a large part of a day's calls.
+	storeProbeInterval = 3 * time.Second
+	// minConfirmedConfigReadInterval replaces minConfigReadInterval while another
+	// instance reports new versions. It is longer than the interval between two syncs, so
+	// that a burst of changes needs only a few reads.
+	minConfirmedConfigReadInterval = 600 * time.Millisecond
+	// minServersReadInterval is the minimum time between two reads of servers' entries.
+	// Each server writes about once per second, so a read that returned at the next
+	// change would be repeated dozens of times per second. A leaving server must be known
+	// within two seconds.
+	minServersReadInterval = 400 * time.Millisecond
+	// minCancelableReadAge is the minimum age at which a read is canceled because other
+	// instances have a newer configuration. A read that is only slow, on a link that
+	// takes a second for a dozen large configurations, must not be canceled repeatedly.
+	minCancelableReadAge = 1500 * time.Millisecond
+	// manyInstances is the number of instances up to which each reads the entries at
+	// minServersReadInterval. With more instances the interval grows, by a factor of at
+	// most maxReadIntervalFactor: 72 instances made 220 calls per second to the store,
+	// nearly all of them such reads. A leaving server is still known well within two
+	// seconds.
+	manyInstances         = 12
+	maxReadIntervalFactor = 3.0
+	// serversWait is how long one read waits for entries, and readTimeoutMargin how much
+	// longer a read may take. Together they bound the time until an outage of the store,
+	// or its end, is noticed.
+	serversWait       = 800 * time.Millisecond
+	readTimeoutMargin = 800 * time.Millisecond
+	// serversWaitHolder replaces serversWait on the lease holder. The list that it passes
+	// to others must not be older than holderListTTL when all servers write at the same
+	// time.
+	serversWaitHolder = 300 * time.Millisecond
+	// storeReturnLag is the assumed time from the start of the last failed read until the
+	// store became reachable again. The actual time may be anywhere up to the first
+	// successful read, which is up to two seconds later. Servers whose entries
+	// disappeared are kept for two seconds from the assumed time; three seconds after the
+	// store's return, when the bound on leaving servers applies again, they must no
+	// longer be used.
+	storeReturnLag = 400 * time.Millisecond
+	// readCheckInterval is how often an instance that gets its data from another one
+	// checks whether it has to read the store itself.
+	readCheckInterval = 100 * time.Millisecond
+	// minReadBackoff and maxReadBackoff bound the backoff after failed reads.
+	minReadBackoff = 100 * time.Millisecond
+	maxReadBackoff = 800 * time.Millisecond
+	// newestReadTimeout bounds a read of the newest configuration or of all servers'
+	// entries. It leaves time for a second read if one sent just before the store's
+	// return is never answered.
+	newestReadTimeout = 2 * time.Second
 )
 
 // followConfig is the duty that follows the operators' configuration.
 func (i *Instance) followConfig(ctx context.Context) error {
-	var at topology.Position
-	failures := 0 // in a row
-	for fresh := true; ctx.Err() == nil; {
-		if i.configTold(time.Now()) {
+	var pos topology.Position
+	failures := 0 // consecutive
+	for newest := true; ctx.Err() == nil; {
+		if i.configConfirmedByPeer(time.Now()) {
 			if !i.configBehind() {
-				supervise.Pause(ctx, fedPoll)
+				supervise.Pause(ctx, readCheckInterval)
 				continue
 			}
-			fresh = true // many may follow from here, and only the newest counts
+			newest = true // there may be many unread versions, and only the newest counts
 		}
 		began := time.Now()
-		res, err := i.readConfig(ctx, at, fresh)
-		i.metrics.storeCall("config", began)
+		res, err := i.readConfig(ctx, pos, newest)
+		i.metrics.observeStoreCall("config", began)
 		if err != nil {
-			fresh = fresh || outOfRange(err)
+			newest = newest || isOutOfRange(err)
 			if errors.Is(err, context.Canceled) {
 				if ctx.Err() == nil {
 					i.logCanceledConfigRead(began)
 				}
-				fresh = true // only the newest counts: in between there may be many, each as large
+				newest = true // there may be many unread versions of the same size, and only the newest counts
 				continue
 			}
 			i.storeFailed("config", err)
 			failures++
-			supervise.Pause(ctx, supervise.Backoff(retryFirst, retryMost, failures)-time.Since(began))
+			supervise.Pause(ctx, supervise.Backoff(minReadBackoff, maxReadBackoff, failures)-time.Since(began))
 			continue
 		}
 		i.storeAnswered()
 		if i.observeEra(res.next.Era, "store") == eraStale {
-			fresh = true
+			newest = true
 			failures++
-			supervise.Pause(ctx, supervise.Backoff(retryFirst, retryMost, failures))
+			supervise.Pause(ctx, supervise.Backoff(minReadBackoff, maxReadBackoff, failures))
 			continue
 		}
 		failures = 0
-		if !fresh && res.next.Era != at.Era && res.next.Era != 0 {
-			fresh = true // the answer's era isn't the position's, so reading can't continue from there
-			supervise.Pause(ctx, retryFirst)
+		if !newest && res.next.Era != pos.Era && res.next.Era != 0 {
+			newest = true // the answer's era isn't the position's, so reading can't continue from there
+			supervise.Pause(ctx, minReadBackoff)
 			continue
 		}
-		at = res.next
-		fresh = false
+		pos = res.next
+		newest = false
 		if res.config != nil {
 			i.setConfig(res.config)
 		}
 		i.noteConfigConfirmed(res.confirmedAt)
-		supervise.Pause(ctx, i.configPause())
+		supervise.Pause(ctx, i.configReadInterval())
 	}
 	return nil
 }
@@ -153,38 +158,39 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	i.log.WithFields(logrus.Fields{
-		"read_ms": ageMs(began), "confirmed_ms": ageMs(i.configConfirmedAt), "version": version, "newest": i.told.version,
+		"read_ms": ageMs(began), "confirmed_ms": ageMs(i.configConfirmedAt), "version": version, "newest": i.peerStatus.version,
 	}).Warn("configuration read canceled")
 }
 
-// configTold says whether the lease holder, or a candidate, tells this instance
-// which configuration is the newest, so that no read has to wait for one. With few
-// instances each reads for itself: a change is in force sooner.
-func (i *Instance) configTold(now time.Time) bool {
-	if i.lease.Stands() || i.instances() <= manyInstances {
+// configConfirmedByPeer reports whether the lease holder or a candidate currently reports
+// which configuration is the newest, so that this instance needs no read of its own. With
+// few instances each reads for itself, which puts a change in force sooner.
+func (i *Instance) configConfirmedByPeer(now time.Time) bool {
+	if i.lease.Stands() || i.instanceCount() <= manyInstances {
 		return false
 	}
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.storeDown && now.Sub(i.storeTriedAt) >= storeProbe {
-		return false // one read shows whether it is back
+	if i.storeDown && now.Sub(i.storeFailedAt) >= storeProbeInterval {
+		return false // one read shows whether the store is back
 	}
-	return i.view.Config != nil && !i.told.storeDown && now.Sub(i.told.confirmedAt) < configToldFor
+	return i.view.Config != nil && !i.peerStatus.storeDown && now.Sub(i.peerStatus.confirmedAt) < configConfirmationTTL
 }
 
-// configBehind says whether another instance was told to have a newer configuration.
+// configBehind reports whether this instance has no configuration, or another instance
+// reported a newer one.
 func (i *Instance) configBehind() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	return i.view.Config == nil || i.told.version > i.view.Config.Version
+	return i.view.Config == nil || i.peerStatus.version > i.view.Config.Version
 }
 
-// configPause is the least time between two reads of configurations.
-func (i *Instance) configPause() time.Duration {
-	if i.configTold(time.Now()) {
-		return configSpacingTold
+// configReadInterval returns the minimum time between two reads of configurations.
+func (i *Instance) configReadInterval() time.Duration {
+	if i.configConfirmedByPeer(time.Now()) {
+		return minConfirmedConfigReadInterval
 	}
-	return configSpacing
+	return minConfigReadInterval
 }
 
 // configResult is the result of a read of configurations.
@@ -197,26 +203,26 @@
 	confirmedAt time.Time
 }
 
-// readConfig reads the newest configuration if fresh is set, and otherwise waits for
-// one at position at or later. The confirmation's time doesn't depend on when the
+// readConfig reads the newest configuration if newest is set, and otherwise waits for one
+// at the given position or later. The time of the confirmation doesn't depend on when the
 // answer arrives: a delayed answer must not hide a version written in the meantime.
-func (i *Instance) readConfig(ctx context.Context, at topology.Position, fresh bool) (configResult, error) {
+func (i *Instance) readConfig(ctx context.Context, pos topology.Position, newest bool) (configResult, error) {
 	began := time.Now()
-	if fresh {
-		ctx, cancel := context.WithTimeout(ctx, newestTimeout)
+	if newest {
+		ctx, cancel := context.WithTimeout(ctx, newestReadTimeout)
 		defer cancel()
-		defer i.interrupt(cancel)()
+		defer i.registerConfigRead(cancel)()
 		c, next, err := i.opts.Source.NewestConfig(ctx)
 		return configResult{config: c, next: next, confirmedAt: began}, err
 	}
 	wait := i.nextConfigWait(began)
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
-	defer i.interrupt(cancel)()
+	defer i.registerConfigRead(cancel)()
 	go i.cancelUnconfirmedRead(ctx, cancel)
-	c, next, err := i.opts.Source.NextConfig(ctx, at, wait)
+	c, next, err := i.opts.Source.NextConfig(ctx, pos, wait)
 	res := configResult{config: c, next: next}
-	if next == at {
+	if next == pos {
 		res.confirmedAt = began
 		if waitEnd := began.Add(wait); !time.Now().Before(waitEnd) {
 			res.confirmedAt = waitEnd // the store waited for a newer one until then
@@ -227,12 +233,12 @@
 
 // nextConfigWait returns how long a read that begins at now waits for a configuration.
 func (i *Instance) nextConfigWait(now time.Time) time.Duration {
-	stands, holds := i.lease.Stands(), i.lease.Holds()
+	competes, holds := i.lease.Stands(), i.lease.Holds()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	confirmed := now.Sub(i.told.confirmedAt) < configToldFor
+	confirmed := now.Sub(i.peerStatus.confirmedAt) < configConfirmationTTL
 	switch {
-	case holds || !confirmed && stands:
+	case holds || !confirmed && competes:
 		return configWaitHolder
 	case !confirmed:
 		return configWaitUnconfirmed
@@ -242,17 +248,17 @@
 	return configWait
 }
 
-// cancelUnconfirmedRead calls cancel once the store's last confirmation of the
-// version in force, to this instance or to one that reported it, is older than
-// configToldFor and the read has taken at least behindAge. It returns after that or
-// when ctx, the context of the read, ends.
+// cancelUnconfirmedRead calls cancel once the store's last confirmation of the version in
+// force, to this instance or to one that reported it, is older than configConfirmationTTL
+// and the read has taken at least minCancelableReadAge. It returns after that or when
+// ctx, the context of the read, ends.
 func (i *Instance) cancelUnconfirmedRead(ctx context.Context, cancel context.CancelFunc) {
 	began := time.Now()
 	for {
 		i.mu.Lock()
-		deadline := i.configConfirmedAt.Add(configToldFor)
+		deadline := i.configConfirmedAt.Add(configConfirmationTTL)
 		i.mu.Unlock()
-		if earliest := began.Add(behindAge); deadline.Before(earliest) {
+		if earliest := began.Add(minCancelableReadAge); deadline.Before(earliest) {
 			deadline = earliest
 		}
 		if !time.Now().Before(deadline) {
@@ -265,152 +271,154 @@
 	}
 }
 
-// followServers is the duty that follows the servers' entries. It reads the store
-// only while the lease holder's word doesn't stand in for that, since the holder
-// reads for all, and while it seems away, to see when it is back.
+// followServers is the duty that follows the servers' entries. It skips reads of the
+// store while the lease holder, which reads for all instances, supplies the list. During
+// an outage of the store it keeps probing whether the store is back.
 func (i *Instance) followServers(ctx context.Context) error {
-	failures := 0        // in a row
-	var failed time.Time // when the last read that failed was begun
-	immediate := true    // the next read must not wait for new entries
+	failures := 0                 // consecutive
+	var failedReadBegan time.Time // when the last failed read began
+	immediate := true             // the next read must not wait for new entries
 	for ctx.Err() == nil {
-		if !i.readsServers(time.Now()) {
+		if !i.shouldReadServers(time.Now()) {
 			failures, immediate = 0, true
-			supervise.Pause(ctx, fedPoll)
+			supervise.Pause(ctx, readCheckInterval)
 			continue
 		}
 		began := time.Now()
 		r, err := i.readServers(ctx, immediate)
-		i.metrics.storeCall("servers", began)
+		i.metrics.observeStoreCall("servers", began)
 		now := time.Now()
 		if err != nil {
-			if outOfRange(err) {
-				i.servers.reread()
+			if isOutOfRange(err) {
+				i.servers.requireSnapshot()
 			}
 			i.storeFailed("servers", err)
 			failures++
-			failed, immediate = began, true
-			supervise.Pause(ctx, supervise.Backoff(retryFirst, retryMost, failures))
+			failedReadBegan, immediate = began, true
+			supervise.Pause(ctx, supervise.Backoff(minReadBackoff, maxReadBackoff, failures))
 			continue
 		}
-		if i.observeEra(r.next.Era, "store") == eraStale || !r.all && r.next.Era != r.from.Era && r.next.Era != 0 {
-			i.servers.reread()
-			supervise.Pause(ctx, retryFirst)
+		if i.observeEra(r.next.Era, "store") == eraStale || !r.snapshot && r.next.Era != r.from.Era && r.next.Era != 0 {
+			i.servers.requireSnapshot()
+			supervise.Pause(ctx, minReadBackoff)
 			continue
 		}
 		if failures > 0 {
 			failures = 0
-			i.servers.storeBack(failed.Add(returnLag))
+			i.servers.onStoreReturn(failedReadBegan.Add(storeReturnLag))
 			i.restartConfigRead(0)
 		}
 		i.storeAnswered()
 		immediate = false
-		i.noteProblems(r.changes)
-		i.servers.take(now, r, i.setServers)
-		supervise.Pause(ctx, i.serversSpacing())
+		i.logUnusableEntries(r.changes)
+		i.servers.applyRead(now, r, i.setServers)
+		supervise.Pause(ctx, i.minServersReadInterval())
 	}
 	return nil
 }
 
-// readsServers says whether this instance reads the servers' entries itself now:
-// the holder does for all, and without one the candidates do. One that has just
-// read them waits to be told before it reads again, where there are many.
-func (i *Instance) readsServers(now time.Time) bool {
+// shouldReadServers reports whether this instance has to read the servers' entries itself
+// now. The lease holder reads for all instances; without a holder the candidates do. With
+// many instances, one that has just read the entries waits for a peer's list before
+// reading again.
+func (i *Instance) shouldReadServers(now time.Time) bool {
 	if i.lease.Holds() {
 		return true
 	}
-	fed := i.servers.fed(now)
+	holderListValid := i.servers.holderListValid(now)
 	if i.storeIsDown() {
-		return !fed || !i.configTold(now)
+		return !holderListValid || !i.configConfirmedByPeer(now)
 	}
-	if fed {
+	if holderListValid {
 		return false
 	}
-	return i.lease.Stands() || i.instances() <= manyInstances || !i.servers.fresh(now)
+	return i.lease.Stands() || i.instanceCount() <= manyInstances || !i.servers.fresh(now)
 }
 
-// serversSpacing returns the least time between this instance's reads of the
+// minServersReadInterval returns the minimum time between this instance's reads of the
 // servers' entries.
-func (i *Instance) serversSpacing() time.Duration {
+func (i *Instance) minServersReadInterval() time.Duration {
 	if i.lease.Holds() {
-		return serversSpacing // all others wait for it
+		return minServersReadInterval // all other instances depend on the holder's reads
 	}
-	return spacing(i.instances())
+	return serversReadIntervalFor(i.instanceCount())
 }
 
-// spacing returns the least time between two reads of servers' entries.
-func spacing(instances int) time.Duration {
-	times := min(max(float64(instances)/manyInstances, 1), spacingMost)
-	return time.Duration(times * float64(serversSpacing))
+// serversReadIntervalFor returns the minimum time between two reads of servers' entries
+// for a number of instances.
+func serversReadIntervalFor(instances int) time.Duration {
+	factor := min(max(float64(instances)/manyInstances, 1), maxReadIntervalFactor)
+	return time.Duration(factor * float64(minServersReadInterval))
 }
 
-// instances returns how many instances there are, as far as known.
-func (i *Instance) instances() int {
+// instanceCount returns the known or assumed number of live instances.
+func (i *Instance) instanceCount() int {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.view.Instances()
 }
 
-// readServers reads the servers' entries that follow the known position, or all of them
-// if there is none. If immediate is set, the read doesn't wait for new entries and times
-// out sooner: an unanswered read must not hide for long that a server is leaving.
-func (i *Instance) readServers(ctx context.Context, immediate bool) (read, error) {
-	at := i.servers.position()
-	if at != unread {
+// readServers reads the servers' entries from the known position on, or all of them if
+// there is none. If immediate is set, the read doesn't wait for new entries and times out
+// sooner: an unanswered read must not hide for long that a server is leaving.
+func (i *Instance) readServers(ctx context.Context, immediate bool) (serversRead, error) {
+	pos := i.servers.position()
+	if pos != noPosition {
 		wait := serversWait
 		switch {
 		case immediate:
 			wait = 0
 		case i.lease.Holds():
-			wait = holderWait
+			wait = serversWaitHolder
 		}
-		ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+		ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 		defer cancel()
-		changes, next, err := i.opts.Source.NextServers(ctx, at, wait)
-		return read{from: at, next: next, changes: changes}, err
+		changes, next, err := i.opts.Source.NextServers(ctx, pos, wait)
+		return serversRead{from: pos, next: next, changes: changes}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, newestTimeout)
+	ctx, cancel := context.WithTimeout(ctx, newestReadTimeout)
 	defer cancel()
 	changes, next, err := i.opts.Source.NewestServers(ctx)
-	return read{all: true, next: next, changes: changes}, err
+	return serversRead{snapshot: true, next: next, changes: changes}, err
 }
 
-// interrupt lets restartConfigRead end a read by cancel until the returned
-// function is called.
-func (i *Instance) interrupt(cancel context.CancelFunc) func() {
+// registerConfigRead registers cancel as the way for restartConfigRead to cancel a read,
+// until the returned function is called.
+func (i *Instance) registerConfigRead(cancel context.CancelFunc) func() {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.configRead, i.configReadAt = cancel, time.Now()
+	i.cancelConfigRead, i.configReadBeganAt = cancel, time.Now()
 	return func() {
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		i.configRead = nil
+		i.cancelConfigRead = nil
 	}
 }
 
-// restartConfigRead ends the read of configurations that is under way, if it is
-// as old as that, and has the newest read. A store that was away may never answer
-// it, and a configuration that is written right after its return would be learned
-// of only when the read's time is up.
+// restartConfigRead cancels the configuration read in progress if it is at least as old
+// as age, so that the newest configuration is read instead. The store may never answer a
+// read that was in progress during an outage, and a configuration written right after the
+// outage would otherwise be seen only after the read's timeout.
 func (i *Instance) restartConfigRead(age time.Duration) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.configRead != nil && time.Since(i.configReadAt) >= age {
-		i.configRead()
+	if i.cancelConfigRead != nil && time.Since(i.configReadBeganAt) >= age {
+		i.cancelConfigRead()
 	}
 }
 
-// configReadAge returns for how long the read of configurations is under way, in
-// milliseconds, -1 if none is.
+// configReadAge returns how long the configuration read in progress has taken, in
+// milliseconds, -1 if there is none.
 func (i *Instance) configReadAge() int64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.configRead == nil {
+	if i.cancelConfigRead == nil {
 		return -1
 	}
-	return ageMs(i.configReadAt)
+	return ageMs(i.configReadBeganAt)
 }
 
-func (i *Instance) noteProblems(changes []topology.ServerChange) {
+func (i *Instance) logUnusableEntries(changes []topology.ServerChange) {
 	for _, c := range changes {
 		if c.Problem != nil {
 			i.log.WithFields(logrus.Fields{"server": c.ID, "error": c.Problem}).Warn("server entry not usable")
@@ -418,7 +426,7 @@
 	}
 }
 
-func outOfRange(err error) bool {
+func isOutOfRange(err error) bool {
 	var e *infra.Error
 	return errors.As(err, &e) && e.Reason == infra.ReasonOutOfRange
 }
--- a/instance/follow_test.go
+++ b/instance/follow_test.go
@@ -13,24 +13,24 @@
 )
 
 func TestManyInstancesReadEntriesLessOften(t *testing.T) {
-	require.Equal(t, serversSpacing, spacing(0))
-	require.Equal(t, serversSpacing, spacing(manyInstances))
-	require.Equal(t, 2*serversSpacing, spacing(2*manyInstances))
-	require.Less(t, spacing(1000)+serversWait, 2*time.Second+serversWait/2, "a leaving server is known in time")
-	calls := func(n int) float64 { return float64(n) / spacing(n).Seconds() }
-	require.Less(t, calls(72), 0.35*72/serversSpacing.Seconds())
+	require.Equal(t, minServersReadInterval, serversReadIntervalFor(0))
+	require.Equal(t, minServersReadInterval, serversReadIntervalFor(manyInstances))
+	require.Equal(t, 2*minServersReadInterval, serversReadIntervalFor(2*manyInstances))
+	require.Less(t, serversReadIntervalFor(1000)+serversWait, 2*time.Second+serversWait/2, "a leaving server is known in time")
+	calls := func(n int) float64 { return float64(n) / serversReadIntervalFor(n).Seconds() }
+	require.Less(t, calls(72), 0.35*72/minServersReadInterval.Seconds())
 }
 
-// A slow read of configurations must not be ended each time that another
-// instance is seen to have a newer one.
+// A slow configuration read must not be canceled each time that another instance reports
+// a newer configuration.
 func TestAReadThatIsOnlySlowIsNotEnded(t *testing.T) {
 	i := &Instance{}
 	ended := 0
-	done := i.interrupt(func() { ended++ })
-	i.restartConfigRead(behindAge)
+	done := i.registerConfigRead(func() { ended++ })
+	i.restartConfigRead(minCancelableReadAge)
 	require.Zero(t, ended)
-	i.configReadAt = time.Now().Add(-behindAge)
-	i.restartConfigRead(behindAge)
+	i.configReadBeganAt = time.Now().Add(-minCancelableReadAge)
+	i.restartConfigRead(minCancelableReadAge)
 	require.Equal(t, 1, ended)
 	done()
 	i.restartConfigRead(0)
@@ -46,9 +46,9 @@
 	return nil, topology.Position{}, context.Cause(ctx)
 }
 
-// A read of the newest configuration that was begun as the store went away may
-// never be answered. Left to its own timeout it was over 2.9 s after the store's
-// return, and its retry later still.
+// A read of the newest configuration that begins as the store goes away may never be
+// answered. Without a restart it ended only at its timeout, 2.9 s after the store's
+// return, and its retry came later still.
 func TestAHungReadOfTheNewestIsBegunAgainOnceTheStoreIsBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		i := &Instance{opts: Options{Source: hungSource{}}}
@@ -66,47 +66,48 @@
 	})
 }
 
-// told is an instance among many that heard from a holder a moment ago.
-func toldInstance(now time.Time) *Instance {
+// newInformedInstance returns one of many instances that has just received a holder's
+// report and list of servers.
+func newInformedInstance(now time.Time) *Instance {
 	i := &Instance{lease: residency.NewLease(nil, "a", time.Second, func() time.Duration { return 0 }, nil), servers: newServerList()}
 	i.view.Config, i.view.Nodes = &topology.Config{Version: 7}, map[string]int{"d": 295}
-	i.told = told{at: now, version: 7, confirmedAt: now}
-	i.servers.fedUntil = now.Add(fedFor)
+	i.peerStatus = peerStatus{receivedAt: now, version: 7, confirmedAt: now}
+	i.servers.holderListValidUntil = now.Add(holderListTTL)
 	return i
 }
 
-// Of many instances only those that stand for the lease read the store all the
-// time; one that the store turns away hears what is new from another, and looks
-// now and then whether it is back.
-func TestAnInstanceThatIsToldDoesNotReadTheStore(t *testing.T) {
+// Of many instances, only those that compete for the lease read the store continuously.
+// An instance that can't reach the store gets new data from another one, and probes from
+// time to time whether the store is back.
+func TestInstanceSkipsStoreReadsWhileAPeerReports(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
-	i := toldInstance(now)
-	require.True(t, i.configTold(now))
+	i := newInformedInstance(now)
+	require.True(t, i.configConfirmedByPeer(now))
 	require.False(t, i.configBehind())
-	require.False(t, i.readsServers(now))
-	i.told.version = 8
+	require.False(t, i.shouldReadServers(now))
+	i.peerStatus.version = 8
 	require.True(t, i.configBehind())
-	i.storeDown, i.storeTriedAt = true, now
-	require.True(t, i.configTold(now))
-	require.False(t, i.readsServers(now))
-	later := now.Add(storeProbe)
-	i.told.at, i.told.confirmedAt, i.servers.fedUntil = later, later, later.Add(fedFor)
-	require.False(t, i.configTold(later), "it looks whether the store is back")
-	require.True(t, i.readsServers(later))
-	i.storeTriedAt = later
-	i.told.storeDown = true
-	require.False(t, i.configTold(later), "nobody tells what is new: each has to see for itself")
-	require.True(t, i.readsServers(later))
+	i.storeDown, i.storeFailedAt = true, now
+	require.True(t, i.configConfirmedByPeer(now))
+	require.False(t, i.shouldReadServers(now))
+	later := now.Add(storeProbeInterval)
+	i.peerStatus.receivedAt, i.peerStatus.confirmedAt, i.servers.holderListValidUntil = later, later, later.Add(holderListTTL)
+	require.False(t, i.configConfirmedByPeer(later), "probes whether the store is back")
+	require.True(t, i.shouldReadServers(later))
+	i.storeFailedAt = later
+	i.peerStatus.storeDown = true
+	require.False(t, i.configConfirmedByPeer(later), "no peer reaches the store, so each instance reads for itself")
+	require.True(t, i.shouldReadServers(later))
 }
 
-func TestAnInstanceThatIsNotToldReadsTheStore(t *testing.T) {
+func TestInstanceReadsTheStoreWithoutRecentReports(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
-	i := toldInstance(now)
-	require.False(t, i.configTold(now.Add(configToldFor)))
-	require.True(t, i.readsServers(now.Add(fedFor)))
+	i := newInformedInstance(now)
+	require.False(t, i.configConfirmedByPeer(now.Add(configConfirmationTTL)))
+	require.True(t, i.shouldReadServers(now.Add(holderListTTL)))
 	i.lease.Heard(true)
-	require.False(t, i.configTold(now), "a candidate reads configurations for the others")
-	i = toldInstance(now)
+	require.False(t, i.configConfirmedByPeer(now), "a candidate reads configurations for the others")
+	i = newInformedInstance(now)
 	i.view.Nodes = map[string]int{"d": manyInstances}
-	require.False(t, i.configTold(now), "few instances each read for themselves")
+	require.False(t, i.configConfirmedByPeer(now), "few instances each read for themselves")
 }
--- a/instance/front.go
+++ b/instance/front.go
@@ -16,70 +16,70 @@
 )
 
 const (
-	// defaultHeaderBytes, defaultHeaderTime and defaultIdle hold until a
+	// defaultHeaderBytes, defaultHeaderTimeout and defaultIdleTimeout apply until a
 	// configuration sets them.
-	defaultHeaderBytes = 16 << 10
-	defaultHeaderTime  = 3 * time.Second
-	defaultIdle        = 15 * time.Second
-	// headerSlack is what net/http adds to the bound on headers.
-	headerSlack = 4 << 10
-	// drainServing is how long a draining instance still takes new requests on
-	// open connections: the balancer's health checks fail twice within it.
-	drainServing = 2500 * time.Millisecond
-	// drainRefuse is how long before the platform's kill what still waits for a
-	// server is refused: its caller must hear that it didn't run.
-	drainRefuse = 1500 * time.Millisecond
-	// drainMargin is how long before the platform's kill what is still in hand
-	// is broken off.
-	drainMargin = 500 * time.Millisecond
+	defaultHeaderBytes   = 16 << 10
+	defaultHeaderTimeout = 3 * time.Second
+	defaultIdleTimeout   = 15 * time.Second
+	// headerOverhead is what net/http adds to the limit on header bytes.
+	headerOverhead = 4 << 10
+	// drainServeTime is how long a draining instance still accepts new requests: the
+	// balancer's health checks fail twice within that time.
+	drainServeTime = 2500 * time.Millisecond
+	// drainRefuseMargin is how long before the platform's SIGKILL the requests that still
+	// wait for a server are refused, so that their callers learn that they didn't run.
+	drainRefuseMargin = 1500 * time.Millisecond
+	// drainCloseMargin is how long before the platform's SIGKILL the requests that are
+	// still in flight are aborted.
+	drainCloseMargin = 500 * time.Millisecond
 )
 
-// front serves callers and the health check.
-type front struct {
-	instance *Instance
-	callers  net.Listener
-	health   net.Listener
-	metrics  net.Listener // nil: served beside the health check only
-	draining atomic.Bool
+// frontend serves callers, health checks and metrics over HTTP.
+type frontend struct {
+	instance        *Instance
+	callerListener  net.Listener
+	healthListener  net.Listener
+	metricsListener net.Listener // nil: metrics are served on healthListener only
+	draining        atomic.Bool
 
 	mu      sync.Mutex
-	servers []*http.Server // the one that accepts last; connections stay with the one that accepted them
+	servers []*http.Server // the last one accepts; connections stay with the server that accepted them
 }
 
-func newFront(i *Instance) *front { return &front{instance: i} }
+func newFrontend(i *Instance) *frontend { return &frontend{instance: i} }
 
-// listen opens the addresses, so that a wrong one ends the program at once.
-func (f *front) listen() error {
+// listen opens the listeners, so that an unusable address ends the program at startup.
+func (f *frontend) listen() error {
 	n := f.instance.opts.Node
 	var err error
-	if f.callers, err = net.Listen("tcp4", n.CallersAddr); err != nil {
+	if f.callerListener, err = net.Listen("tcp4", n.CallersAddr); err != nil {
 		return errors.Wrap(err, "listening for callers")
 	}
-	if f.health, err = net.Listen("tcp4", n.HealthAddr); err != nil {
+	if f.healthListener, err = net.Listen("tcp4", n.HealthAddr); err != nil {
 		return errors.Wrap(err, "listening for health checks")
 	}
 	if n.MetricsAddr == "" {
 		return nil
 	}
-	if f.metrics, err = net.Listen("tcp4", n.MetricsAddr); err != nil {
+	if f.metricsListener, err = net.Listen("tcp4", n.MetricsAddr); err != nil {
 		return errors.Wrap(err, "listening for metrics")
 	}
 	return nil
 }
 
-// serve is the duty that serves callers. The limits on what they may send hold
-// from the first configuration on; until then each request is refused as not run.
-func (f *front) serve(ctx context.Context) error {
-	limits := topology.Limits{HeaderBytes: defaultHeaderBytes, HeaderTimeout: defaultHeaderTime, IdleTimeout: defaultIdle}
-	listener := newSharedListener(f.callers)
+// serveCallers is the duty that serves callers. The limits on requests apply from the
+// first configuration on; until then each request is refused as not run.
+func (f *frontend) serveCallers(ctx context.Context) error {
+	limits := topology.Limits{HeaderBytes: defaultHeaderBytes, HeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout}
+	listener := newSharedListener(f.callerListener)
 	for {
 		server := f.newServer(limits)
 		f.mu.Lock()
 		f.servers = append(f.servers, server)
 		f.mu.Unlock()
 		ended := make(chan error, 1)
-		turn := listener.turn()
-		go func() { ended <- server.Serve(turn) }()
+		child := listener.child()
+		go func() { ended <- server.Serve(child) }()
 		select {
 		case <-ctx.Done():
 			f.closeServers()
@@ -92,24 +92,24 @@
 			}
 			return err
 		case limits = <-f.instance.limits:
-			_ = turn.Close() // the next server accepts; open connections stay with this one
+			_ = child.Close() // the next server accepts; open connections stay with this one
 		}
 	}
 }
 
-func (f *front) newServer(l topology.Limits) *http.Server {
+func (f *frontend) newServer(l topology.Limits) *http.Server {
 	return &http.Server{
 		Handler:           f.instance.relay,
-		MaxHeaderBytes:    max(l.HeaderBytes-headerSlack, headerSlack),
+		MaxHeaderBytes:    max(l.HeaderBytes-headerOverhead, headerOverhead),
 		ReadHeaderTimeout: l.HeaderTimeout,
 		IdleTimeout:       l.IdleTimeout,
-		ErrorLog:          newServerLog(f.instance.log),
+		ErrorLog:          newHTTPErrorLog(f.instance.log),
 	}
 }
 
-// closeServers breaks off what is still in hand.
-func (f *front) closeServers() {
-	_ = f.callers.Close() // may be closed already
+// closeServers aborts the requests that are still in flight.
+func (f *frontend) closeServers() {
+	_ = f.callerListener.Close() // may be closed already
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, s := range f.servers {
@@ -117,59 +117,60 @@
 	}
 }
 
-// serveHealth is the duty that answers the balancer's health checks.
-func (f *front) serveHealth(ctx context.Context) error {
+// serveHealth is the duty that answers the balancer's health checks. It also serves the
+// metrics.
+func (f *frontend) serveHealth(ctx context.Context) error {
 	mux := f.metricsMux()
 	mux.HandleFunc("/", func(w http.ResponseWriter, _ *http.Request) {
 		if f.draining.Load() || !f.instance.ready() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return f.serveOn(ctx, f.health, mux)
+	return f.serveOn(ctx, f.healthListener, mux)
 }
 
-// serveMetrics is the duty that serves the metrics on an address of their own.
-func (f *front) serveMetrics(ctx context.Context) error {
-	if f.metrics == nil {
+// serveMetrics is the duty that serves the metrics on a separate address, if one is set.
+func (f *frontend) serveMetrics(ctx context.Context) error {
+	if f.metricsListener == nil {
 		<-ctx.Done()
 		return nil
 	}
-	return f.serveOn(ctx, f.metrics, f.metricsMux())
+	return f.serveOn(ctx, f.metricsListener, f.metricsMux())
 }
 
-func (f *front) metricsMux() *http.ServeMux {
+func (f *frontend) metricsMux() *http.ServeMux {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", f.instance.metrics.handler())
 	return mux
 }
 
-// serveOn serves a handler until ctx ends.
-func (f *front) serveOn(ctx context.Context, l net.Listener, h http.Handler) error {
-	server := &http.Server{Handler: h, ReadHeaderTimeout: defaultHeaderTime, ErrorLog: newServerLog(f.instance.log)}
+// serveOn serves h on l until ctx ends.
+func (f *frontend) serveOn(ctx context.Context, l net.Listener, h http.Handler) error {
+	server := &http.Server{Handler: h, ReadHeaderTimeout: defaultHeaderTimeout, ErrorLog: newHTTPErrorLog(f.instance.log)}
 	ended := make(chan error, 1)
 	go func() { ended <- server.Serve(l) }()
 	select {
 	case <-ctx.Done():
-		_ = server.Close() // nobody waits for what it answers
+		_ = server.Close() // answers in progress need not complete
 		return nil
 	case err := <-ended:
 		return err
 	}
 }
 
-// drain takes the instance out of rotation, serves on until callers have moved
-// on, and lets what is in hand end within the grace period.
-func (f *front) drain() {
+// drain fails the health checks, keeps serving until callers have switched to other
+// instances, and lets the requests in flight finish within the grace period.
+func (f *frontend) drain() {
 	f.instance.log.WithField("in_hand", f.instance.relay.InHand()).Info("draining")
-	end := time.Now().Add(f.instance.node.Load().Grace - drainMargin)
+	closeAt := time.Now().Add(f.instance.node.Load().Grace - drainCloseMargin)
 	f.draining.Store(true)
 	f.instance.relay.Drain()
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), closeAt)
 	defer cancel()
-	refuse := time.AfterFunc(time.Until(end)+drainMargin-drainRefuse, f.instance.relay.RefuseWaiting)
-	defer refuse.Stop()
-	supervise.Pause(ctx, drainServing)
-	_ = f.callers.Close()
+	refuseTimer := time.AfterFunc(time.Until(closeAt)+drainCloseMargin-drainRefuseMargin, f.instance.relay.RefuseWaiting)
+	defer refuseTimer.Stop()
+	supervise.Pause(ctx, drainServeTime)
+	_ = f.callerListener.Close()
 	f.mu.Lock()
 	servers := f.servers
 	f.mu.Unlock()
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -1,6 +1,11 @@
-// Package instance runs one instance of the system on the users' platform: it
-// follows the operators' configuration and the servers' entries, relays
-// callers' requests, and takes its part in deciding what the servers hold.
+// Package instance runs one instance of the system on the users' platform.
+//
+// An Instance follows the operators' configuration and the backend servers' entries in
+// the platform's store, relays callers' requests, and competes for the lease whose holder
+// decides which models the servers hold. The syncer reports demand, load and server state
+// to the lease holder and applies its summary of all instances. The holderLocator decides
+// which instance to report to. The serverList is read from the store or copied from the
+// lease holder. The frontend serves callers, health checks and metrics.
 package instance
 
 import (
@@ -19,7 +24,7 @@
 	"greengageferry/topology"
 )
 
-// Options is what an Instance is built from. All must be set.
+// Options configures an Instance. All fields must be set.
 type Options struct {
 	Node    *topology.Node
 	Source  topology.Source
@@ -31,81 +36,81 @@
 	Rand    *rand.Rand
 }
 
-// Instance is one instance of the system.
+// Instance is one instance of the system. Create it with New and start it with Run.
 type Instance struct {
-	opts    Options
-	node    atomic.Pointer[topology.Node] // the newest settings
-	log     logrus.FieldLogger
-	relay   *relay.Relay
-	metrics *metrics
-	front   *front
-	servers *serverList
+	opts     Options
+	node     atomic.Pointer[topology.Node] // the newest settings; opts.Node has those from the start
+	log      logrus.FieldLogger
+	relay    *relay.Relay
+	metrics  *metrics
+	frontend *frontend
+	servers  *serverList
 
 	lease      *residency.Lease
 	controller *residency.Controller
 
-	mu           sync.Mutex
-	view         topology.View           // its parts are replaced, never changed
-	listed       []topology.Server       // the servers as their entries describe them
-	leaving      topology.LeavingServers // the servers that said so in their answers
-	storeDown    bool
-	storeAt      time.Time          // when the store last answered
-	storeTriedAt time.Time          // when it last didn't
-	orderedAt    time.Time          // when a lease holder last said that it may order
-	told         told               // by the lease holder or a candidate
-	configRead   context.CancelFunc // ends the read of configurations under way; nil: none is
-	configReadAt time.Time          // when it began
-	// configConfirmedAt is when the store last confirmed, to this instance or to one
-	// that reported it, that the configuration in force was the newest; zero: never.
+	mu                sync.Mutex
+	view              topology.View           // its fields are replaced, never modified in place
+	listed            []topology.Server       // the servers as described by their entries
+	leaving           topology.LeavingServers // the servers whose answers said that they are leaving
+	storeDown         bool
+	storeAnsweredAt   time.Time          // when the store last answered
+	storeFailedAt     time.Time          // when the store last failed to answer
+	orderingAt        time.Time          // when a lease holder last reported that it may order
+	peerStatus        peerStatus         // last reported by the lease holder or a candidate
+	cancelConfigRead  context.CancelFunc // cancels the configuration read in progress; nil: none
+	configReadBeganAt time.Time          // when the configuration read in progress began
+	// configConfirmedAt is when the store last confirmed, to this instance or to one that
+	// reported it, that the configuration in force was the newest; zero: never.
 	configConfirmedAt time.Time
-	era               int64         // newest known era of the store, 0: none
-	eraWarned         int64         // the known era when a missing or older one was last logged
-	changed           chan struct{} // readable after the view changed; bears at most one signal
-	limits            chan topology.Limits
+	era               int64                // newest known era of the store, 0: none
+	eraWarned         int64                // the known era when a missing or older one was last logged
+	viewChanged       chan struct{}        // signaled after the view changed; buffers one signal
+	limits            chan topology.Limits // those of the first configuration, for the frontend
 }
 
-// New returns an instance that does nothing yet.
+// New returns an instance that does nothing until Run is called.
 func New(o Options) *Instance {
 	m := newMetrics()
 	i := &Instance{
 		opts: o, log: o.Log, metrics: m,
-		changed: make(chan struct{}, 1),
-		limits:  make(chan topology.Limits, 1),
-		servers: newServerList(),
+		viewChanged: make(chan struct{}, 1),
+		limits:      make(chan topology.Limits, 1),
+		servers:     newServerList(),
 	}
 	i.relay = relay.New(relay.Options{Headers: o.Headers, Log: o.Log, Metrics: m, Rand: o.Rand, OnLeaving: i.addLeavingServer})
-	i.front = newFront(i)
+	i.frontend = newFrontend(i)
 	i.node.Store(o.Node)
 	i.view.Expected = true
-	i.view.Nodes = map[string]int{o.Node.Domain: assumedInstances}
+	i.view.Nodes = map[string]int{o.Node.Domain: assumedInstancesPerDomain}
 	for _, domain := range o.Node.Domains {
-		i.view.Nodes[domain] = assumedInstances
+		i.view.Nodes[domain] = assumedInstancesPerDomain
 	}
 	i.lease = residency.NewLease(o.Group, memberName(o.Node, time.Now()), o.Node.LeaseTTL, o.Clock, o.Log)
-	// Else a read that the store left unanswered, as it answered others, hides a
-	// configuration until its timeout of 4.8 s.
+	// The store may leave a read unanswered while it answers others. Without a restart
+	// such a read hides a new configuration until its timeout of 4.8 s.
 	i.lease.OnReturn(func() { i.restartConfigRead(0) })
 	i.lease.OnEra(func(era int64) { i.observeEra(era, "store") })
-	i.believe()
+	i.registerGauges()
 	i.controller = residency.NewController(residency.Options{
-		Holder: o.Node.Name, Lease: i.lease, Orderer: o.Orderer, View: i.currentView, Counted: m.ordered, Spread: i.relay.Spread, Log: o.Log,
+		Holder: o.Node.Name, Lease: i.lease, Orderer: o.Orderer, View: i.currentView, Counted: m.countOrder, Spread: i.relay.Spread, Log: o.Log,
 	})
 	return i
 }
 
-// SetNode takes newer settings. The instance's name and its addresses stay what
-// they were at its start.
+// SetNode replaces the settings. The instance's name and addresses stay as they were at
+// startup.
 func (i *Instance) SetNode(n *topology.Node) {
 	i.node.Store(n)
 	i.log.Info("settings read again")
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.rebuild()
+	i.signalViewChanged()
 }
 
-// assumedInstances is how many instances each failure domain is taken to have
-// until the lease holder says so.
-const assumedInstances = 3
+// assumedInstancesPerDomain is the assumed number of instances in each failure domain
+// until the lease holder reports the actual number.
+const assumedInstancesPerDomain = 3
 
 func (i *Instance) currentView() topology.View {
 	i.mu.Lock()
@@ -113,42 +118,42 @@
 	return i.view
 }
 
-// holdLease is the duty that takes part in who may order, once the instance
-// knows what it would order about.
-func (i *Instance) holdLease(ctx context.Context) error {
+// runLease is the duty that competes for the lease, and renews it, once the instance has
+// a configuration and servers to decide about.
+func (i *Instance) runLease(ctx context.Context) error {
 	for !i.ready() {
-		if !supervise.Pause(ctx, readyPoll) {
+		if !supervise.Pause(ctx, readyPollInterval) {
 			return nil
 		}
 	}
 	return i.lease.Run(ctx)
 }
 
-// readyPoll is how often the instance looks whether it is ready.
-const readyPoll = 200 * time.Millisecond
+// readyPollInterval is how often runLease checks whether the instance is ready.
+const readyPollInterval = 200 * time.Millisecond
 
-// Run runs the instance until ctx ends, and then lets what is in hand end.
+// Run runs the instance until ctx ends, and then drains the requests in flight.
 func (i *Instance) Run(ctx context.Context) error {
-	// The duties outlive ctx: while requests end, they still need the view.
-	inner, stop := context.WithCancel(context.WithoutCancel(ctx))
-	defer stop()
-	front := i.front
-	if err := front.listen(); err != nil {
+	// The duties outlive ctx, because requests that are being drained need the view.
+	dutyCtx, stopDuties := context.WithCancel(context.WithoutCancel(ctx))
+	defer stopDuties()
+	frontend := i.frontend
+	if err := frontend.listen(); err != nil {
 		return err
 	}
 	done := make(chan error, 1)
 	go func() {
-		done <- supervise.Run(inner, supervise.Options{Log: i.log},
+		done <- supervise.Run(dutyCtx, supervise.Options{Log: i.log},
 			supervise.Duty{Name: "config", Run: i.followConfig},
 			supervise.Duty{Name: "servers", Run: i.followServers},
-			supervise.Duty{Name: "routing", Run: i.route},
-			supervise.Duty{Name: "lease", Run: i.holdLease},
+			supervise.Duty{Name: "routing", Run: i.updateRouting},
+			supervise.Duty{Name: "lease", Run: i.runLease},
 			supervise.Duty{Name: "orders", Run: i.controller.Run},
 			supervise.Duty{Name: "sync", Run: newSyncer(i).run},
 			supervise.Duty{Name: "peers", Run: i.servePeers},
-			supervise.Duty{Name: "callers", Run: front.serve},
-			supervise.Duty{Name: "health", Run: front.serveHealth},
-			supervise.Duty{Name: "metrics", Run: front.serveMetrics},
+			supervise.Duty{Name: "callers", Run: frontend.serveCallers},
+			supervise.Duty{Name: "health", Run: frontend.serveHealth},
+			supervise.Duty{Name: "metrics", Run: frontend.serveMetrics},
 		)
 	}()
 	select {
@@ -156,12 +161,13 @@
 		return err
 	case <-ctx.Done():
 	}
-	front.drain()
-	stop()
+	frontend.drain()
+	stopDuties()
 	return <-done
 }
 
-// setConfig takes a configuration in force, unless a newer one already is.
+// setConfig puts a configuration in force unless its version isn't newer than the current
+// one.
 func (i *Instance) setConfig(c *topology.Config) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -172,9 +178,9 @@
 	i.view.Config = c
 	i.view.Index = topology.NewIndex(c.Routes)
 	i.log.WithFields(logrus.Fields{"version": c.Version, "routes": len(c.Routes), "services": len(c.Services)}).Info("configuration in force")
-	i.rebuild()
+	i.signalViewChanged()
 	if first {
-		i.told.confirmedAt = time.Now() // the read that just completed confirms it as another instance would
+		i.peerStatus.confirmedAt = time.Now() // the completed read confirms the version as a peer's report would
 		i.limits <- c.Limits
 	}
 }
@@ -186,14 +192,14 @@
 	i.updateServers(time.Now())
 }
 
-// addLeavingServer records that a server's answer said that it is leaving. This instance
-// sends it no new requests from then on, and reports it in the next Sync.
+// addLeavingServer records a server whose answer said that it is leaving. This instance
+// sends it no new requests from then on, and reports it in the next Sync call.
 func (i *Instance) addLeavingServer(s topology.ServerStart) {
 	i.addLeavingServers([]topology.ServerStart{s})
 }
 
-// addLeavingServers records servers whose answers, to this or another instance, said
-// that they are leaving.
+// addLeavingServers records servers whose answers, to this or another instance, said that
+// they are leaving.
 func (i *Instance) addLeavingServers(servers []topology.ServerStart) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -213,27 +219,27 @@
 	return i.leaving.Listed(i.listed)
 }
 
-// updateServers updates the view's servers from the list and from what is known of
-// leaving servers. The lock is held.
+// updateServers recomputes the view's servers from the listed and the leaving servers.
+// The caller must hold mu.
 func (i *Instance) updateServers(now time.Time) {
 	servers := i.leaving.Mark(now, i.listed)
-	i.logServers(servers)
+	i.logServerChanges(servers)
 	i.view.Servers = servers
-	i.rebuild()
+	i.signalViewChanged()
 }
 
-// logServers writes a line for each server that came, went or began to leave.
-// The lock is held.
-func (i *Instance) logServers(servers []topology.Server) {
+// logServerChanges logs each server that was listed, restarted, started or stopped
+// leaving, or is no longer listed. The caller must hold mu.
+func (i *Instance) logServerChanges(servers []topology.Server) {
 	old := make(map[string]*topology.Server, len(i.view.Servers))
 	for n := range i.view.Servers {
 		old[i.view.Servers[n].ID] = &i.view.Servers[n]
 	}
 	for n := range servers {
 		s := &servers[n]
-		was := old[s.ID]
+		previous := old[s.ID]
 		delete(old, s.ID)
-		if was != nil && was.Leaving == s.Leaving && was.Born.Equal(s.Born) {
+		if previous != nil && previous.Leaving == s.Leaving && previous.Born.Equal(s.Born) {
 			continue
 		}
 		i.log.WithFields(logrus.Fields{
@@ -241,44 +247,45 @@
 			"started_ms": ageMs(s.Born),
 		}).Info("server listed")
 	}
-	for id, was := range old {
-		i.log.WithFields(logrus.Fields{"server": id, "started_ms": ageMs(was.Born)}).Info("server gone")
+	for id, previous := range old {
+		i.log.WithFields(logrus.Fields{"server": id, "started_ms": ageMs(previous.Born)}).Info("server gone")
 	}
 }
 
-// rebuild hands the view on. The lock is held: a view is never replaced by an older one.
-func (i *Instance) rebuild() {
+// signalViewChanged wakes updateRouting. The caller must hold mu, so that a newer view is
+// never replaced by an older one.
+func (i *Instance) signalViewChanged() {
 	select {
-	case i.changed <- struct{}{}:
-	default: // the routing is about to look anyway
+	case i.viewChanged <- struct{}{}:
+	default: // a signal is already pending
 	}
 }
 
-// route is the duty that hands new views to the relay.
-func (i *Instance) route(ctx context.Context) error {
+// updateRouting is the duty that passes new views and routing tables to the relay.
+func (i *Instance) updateRouting(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-i.changed:
+		case <-i.viewChanged:
 		}
 		v := i.currentView()
 		i.relay.SetView(&v, topology.BuildTable(i.opts.Node.Domain, &v, i.retryPolicy(&v)))
 	}
 }
 
-// The parts of the retries that the platform allows over all instances which
-// one instance takes for itself: less than its share, since it can't know what
-// the others spend.
+// The platform limits the retries of all instances together. Each instance uses only
+// these fractions of its share, because it doesn't know how many retries the others send.
 const (
-	retryRatioPart   = 0.7 // of the ratio
-	retryReservePart = 0.4 // of its share of the reserve, at once
-	retryTricklePart = 0.4 // of its share of the reserve, over a window
+	retryRatioFraction   = 0.7 // of the retry ratio
+	retryReserveFraction = 0.4 // of the instance's share of the reserve, available at once
+	retryRefillFraction  = 0.4 // of the instance's share of the reserve, refilled over a window
 )
 
-// retryPolicy returns this instance's part of the retries. Where nobody has counted
-// the instances yet, it is that of one of as many as there may be: after all were
-// killed that lasts for seconds, in which all of them repeat.
+// retryPolicy returns this instance's limits on retries. Until the lease holder reports
+// the number of instances, the share is computed for the largest number that the system
+// is designed for: after all instances were killed, the number stays unknown for seconds
+// in which all of them retry.
 func (i *Instance) retryPolicy(v *topology.View) decide.RetryPolicy {
 	n := i.node.Load()
 	instances := v.Instances()
@@ -287,22 +294,22 @@
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
 	return decide.RetryPolicy{
-		Share:        n.RetryRatio * retryRatioPart,
-		Reserve:      max(share*retryReservePart, 1),
-		Trickle:      share * retryTricklePart / max(n.RetryWindow.Seconds(), 1),
+		Share:        n.RetryRatio * retryRatioFraction,
+		Reserve:      max(share*retryReserveFraction, 1),
+		Trickle:      share * retryRefillFraction / max(n.RetryWindow.Seconds(), 1),
 		CountRefused: true,
 	}
 }
 
-// storeFailed notes that the store did not answer a read.
+// storeFailed records that the store did not answer a read.
 func (i *Instance) storeFailed(read string, err error) {
 	i.metrics.storeFailures.Inc()
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.storeTriedAt = time.Now()
+	i.storeFailedAt = time.Now()
 	if !i.storeDown {
 		i.storeDown = true
-		i.log.WithFields(logrus.Fields{"read": read, "last_answer_ms": ageMs(i.storeAt), "error": err}).Warn("store lost")
+		i.log.WithFields(logrus.Fields{"read": read, "last_answer_ms": ageMs(i.storeAnsweredAt), "error": err}).Warn("store lost")
 	}
 }
 
@@ -311,12 +318,12 @@
 	defer i.mu.Unlock()
 	if i.storeDown {
 		i.storeDown = false
-		i.log.WithField("last_answer_ms", ageMs(i.storeAt)).Info("store regained")
+		i.log.WithField("last_answer_ms", ageMs(i.storeAnsweredAt)).Info("store regained")
 	}
-	i.storeAt = time.Now()
+	i.storeAnsweredAt = time.Now()
 }
 
-// ageMs returns how long ago something was, in milliseconds, -1 if it never was.
+// ageMs returns the time since at in milliseconds, -1 if at is zero.
 func ageMs(at time.Time) int64 {
 	if at.IsZero() {
 		return -1
@@ -324,7 +331,7 @@
 	return time.Since(at).Milliseconds()
 }
 
-// configVersion returns the version of the configuration in force, 0 before the first.
+// configVersion returns the version of the configuration in force, 0 if there is none.
 func (i *Instance) configVersion() int64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -340,7 +347,7 @@
 	return i.storeDown
 }
 
-// ready says whether the instance can serve: it knows a configuration and servers.
+// ready reports whether the instance can serve: it has a configuration and lists servers.
 func (i *Instance) ready() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -26,25 +26,25 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// patience is how long a test waits for what has to come: it bounds a failure
-// and decides nothing.
-const patience = 30 * time.Second
+// waitTimeout bounds how long a test waits for an expected event. It only limits the
+// duration of a failure.
+const waitTimeout = 30 * time.Second
 
-type running struct {
+type runningInstance struct {
 	node   *topology.Node
 	stop   context.CancelFunc
-	ended  chan error
+	exited chan error
 	client *http.Client
 }
 
 type deployment struct {
-	t         *testing.T
-	site      *standin.Site
-	instances []*running
-	serial    atomic.Int64
+	t             *testing.T
+	site          *standin.Site
+	instances     []*runningInstance
+	lastRequestID atomic.Int64
 }
 
-// deploy runs a site with an instance in each of its failure domains.
+// deploy runs a stand-in site with one instance in each of its failure domains.
 func deploy(t *testing.T) *deployment {
 	site, err := standin.NewSite()
 	require.NoError(t, err)
@@ -55,7 +55,7 @@
 	t.Cleanup(func() {
 		var ending sync.WaitGroup
 		for _, r := range d.instances {
-			ending.Go(func() { d.end(r) })
+			ending.Go(func() { d.stopInstance(r) })
 		}
 		ending.Wait()
 		cancel()
@@ -66,12 +66,12 @@
 		d.start("front-"+domain, domain)
 	}
 	for _, r := range d.instances {
-		d.until(func() bool { return d.ready(r) })
+		d.waitUntil(func() bool { return d.ready(r) })
 	}
 	return d
 }
 
-func (d *deployment) start(name, domain string) *running {
+func (d *deployment) start(name, domain string) *runningInstance {
 	node, err := d.site.Node(name, domain)
 	require.NoError(d.t, err)
 	log := logrus.New()
@@ -84,36 +84,36 @@
 		Clock: netconn.BootTime, Log: log, Rand: rand.New(rand.NewPCG(1, uint64(len(d.instances)))),
 	})
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{node: node, stop: stop, ended: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
+	r := &runningInstance{node: node, stop: stop, exited: make(chan error, 1), client: &http.Client{Transport: &http.Transport{}}}
 	go func() {
 		err := i.Run(ctx)
 		transport.CloseIdleConnections()
 		orders.CloseIdleConnections()
-		r.ended <- err
+		r.exited <- err
 	}()
 	d.instances = append(d.instances, r)
 	return r
 }
 
-// end stops an instance as the platform does, and waits until it has ended.
-func (d *deployment) end(r *running) {
+// stopInstance stops an instance as the platform does, and waits until its Run returns.
+func (d *deployment) stopInstance(r *runningInstance) {
 	r.stop()
 	select {
-	case err := <-r.ended:
+	case err := <-r.exited:
 		require.NoError(d.t, err)
-		r.ended <- nil
-	case <-time.After(patience):
+		r.exited <- nil
+	case <-time.After(waitTimeout):
 		d.t.Error("the instance didn't end")
 	}
 	r.client.CloseIdleConnections()
 }
 
-func (d *deployment) until(f func() bool) {
+func (d *deployment) waitUntil(f func() bool) {
 	d.t.Helper()
-	require.Eventually(d.t, f, patience, 20*time.Millisecond)
+	require.Eventually(d.t, f, waitTimeout, 20*time.Millisecond)
 }
 
-func (d *deployment) ready(r *running) bool {
+func (d *deployment) ready(r *runningInstance) bool {
 	res, err := http.Get("http://" + r.node.HealthAddr + "/-/ready")
 	if err != nil {
 		return false
@@ -122,10 +122,11 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// ask sends a request through an instance and returns its status, its id and its body.
-func (d *deployment) ask(r *running, path, model string) (int, string, string) {
+// send sends a request through an instance and returns its status, its id and its body;
+// status 0: no complete answer.
+func (d *deployment) send(r *runningInstance, path, model string) (int, string, string) {
 	d.t.Helper()
-	id := fmt.Sprintf("%016x", d.serial.Add(1))
+	id := fmt.Sprintf("%016x", d.lastRequestID.Add(1))
 	req, err := http.NewRequest("POST", "http://"+r.node.CallersAddr+path, strings.NewReader("body"))
 	require.NoError(d.t, err)
 	req.Host = standin.Host
@@ -147,60 +148,60 @@
 	return res.StatusCode, id, string(body)
 }
 
-func TestTheWholePath(t *testing.T) {
+func TestRequestsModelLoadsAndConfigChangesEndToEnd(t *testing.T) {
 	d := deploy(t)
 	for _, r := range d.instances {
-		status, id, body := d.ask(r, standin.PlainPath+"1", "")
+		status, id, body := d.send(r, standin.PlainPath+"1", "")
 		require.Equal(t, 200, status)
 		require.Contains(t, body, standin.PlainPath+"1")
 		require.Equal(t, 1, d.site.Servers[3].Ran()[id])
-		status, _, body = d.ask(r, standin.StreamPath, standin.BusyModel)
+		status, _, body = d.send(r, standin.StreamPath, standin.BusyModel)
 		require.Equal(t, 200, status)
 		require.Equal(t, 10, strings.Count(body, "\n\n"))
 	}
-	// A model and an adapter that no server holds at first are loaded.
-	d.until(func() bool {
-		status, _, _ := d.ask(d.instances[0], standin.StreamPath, standin.RareModel)
+	// A model and an adapter that no server holds at first are loaded on demand.
+	d.waitUntil(func() bool {
+		status, _, _ := d.send(d.instances[0], standin.StreamPath, standin.RareModel)
 		return status == 200
 	})
-	d.until(func() bool {
-		status, _, _ := d.ask(d.instances[1], standin.StreamPath, standin.BusyModel+"/a3")
+	d.waitUntil(func() bool {
+		status, _, _ := d.send(d.instances[1], standin.StreamPath, standin.BusyModel+"/a3")
 		return status == 200
 	})
-	// A configuration comes into force everywhere, also after an outage.
+	// A new configuration comes into force on all instances.
 	require.NoError(t, d.site.Store.PutConfig(standin.Config(2)))
 	for _, r := range d.instances {
-		d.until(func() bool { status, _, _ := d.ask(r, "/more/", ""); return status == 200 })
+		d.waitUntil(func() bool { status, _, _ := d.send(r, "/more/", ""); return status == 200 })
 	}
 }
 
-func TestWithoutTheStoreWhatIsKnownIsServed(t *testing.T) {
+func TestKnownConfigurationIsServedDuringStoreOutage(t *testing.T) {
 	d := deploy(t)
 	d.site.Store.SetDown(true)
 	for range 5 {
 		for _, r := range d.instances {
-			status, _, _ := d.ask(r, standin.StreamPath, standin.BusyModel)
+			status, _, _ := d.send(r, standin.StreamPath, standin.BusyModel)
 			require.Equal(t, 200, status)
 		}
 	}
 	late := d.start("late", d.site.Domains[0])
-	d.until(func() bool { status, _, _ := d.ask(late, standin.PlainPath, ""); return status == 503 })
+	d.waitUntil(func() bool { status, _, _ := d.send(late, standin.PlainPath, ""); return status == 503 })
 	require.False(t, d.ready(late), "it knows no configuration")
 	d.site.Store.SetDown(false)
 	require.NoError(t, d.site.Store.PutConfig(standin.Config(2)))
 	for _, r := range d.instances {
-		d.until(func() bool { status, _, _ := d.ask(r, "/more/", ""); return status == 200 })
+		d.waitUntil(func() bool { status, _, _ := d.send(r, "/more/", ""); return status == 200 })
 	}
 }
 
-func TestALeavingServerGetsNoNewWork(t *testing.T) {
+func TestALeavingServerGetsNoNewRequests(t *testing.T) {
 	d := deploy(t)
 	leaving := d.site.Servers[0]
 	leaving.Drain()
-	d.until(func() bool {
+	d.waitUntil(func() bool {
 		before := len(leaving.Ran())
 		for range 10 {
-			d.ask(d.instances[0], standin.StreamPath, standin.BusyModel)
+			d.send(d.instances[0], standin.StreamPath, standin.BusyModel)
 		}
 		return len(leaving.Ran()) == before
 	})
@@ -214,7 +215,7 @@
 	for range 8 {
 		group.Go(func() error {
 			begun <- struct{}{}
-			status, _, body := d.ask(r, standin.StreamPath, standin.BusyModel)
+			status, _, body := d.send(r, standin.StreamPath, standin.BusyModel)
 			if status != 200 || strings.Count(body, "\n\n") != 10 {
 				return fmt.Errorf("status %d, %d events", status, strings.Count(body, "\n\n"))
 			}
@@ -224,18 +225,18 @@
 	for range 8 {
 		<-begun
 	}
-	d.until(func() bool {
+	d.waitUntil(func() bool {
 		ran := 0
 		for _, s := range d.site.Servers {
 			ran += len(s.Ran())
 		}
 		return ran >= 8
 	})
-	d.end(r)
+	d.stopInstance(r)
 	require.NoError(t, group.Wait())
-	// The other one takes over what the first may have held.
-	d.until(func() bool {
-		status, _, _ := d.ask(d.instances[1], standin.StreamPath, standin.RareModel)
+	// The other instance takes over the lease if the stopped one held it.
+	d.waitUntil(func() bool {
+		status, _, _ := d.send(d.instances[1], standin.StreamPath, standin.RareModel)
 		return status == 200
 	})
 }
--- a/instance/late_config_test.go
+++ b/instance/late_config_test.go
@@ -24,12 +24,12 @@
 	maxCalls = 40
 )
 
-// lossySource is a store whose configuration changes once, at changedAt. It never
-// answers a read that begins before lostTo and whose answer is due at lostFrom or later.
+// lossySource is a store whose configuration changes once, at changedAt. It never answers
+// a read that begins before lossEnd and whose answer is due at lossBegin or later.
 type lossySource struct {
 	topology.Source
-	changedAt, lostFrom, lostTo time.Time
-	calls                       atomic.Int64
+	changedAt, lossBegin, lossEnd time.Time
+	calls                         atomic.Int64
 }
 
 // NewestConfig implements topology.Source.
@@ -70,7 +70,7 @@
 		return context.Cause(ctx)
 	case <-time.After(time.Until(until) + time.Millisecond):
 	}
-	if began.Before(s.lostTo) && !time.Now().Before(s.lostFrom) {
+	if began.Before(s.lossEnd) && !time.Now().Before(s.lossBegin) {
 		<-ctx.Done()
 		return context.Cause(ctx)
 	}
@@ -80,7 +80,7 @@
 type lostReadsCase struct {
 	instances    int
 	candidate    bool
-	told         *told         // by the lease holder or a candidate, repeatedly; nil: no answers
+	peerStatus   *peerStatus   // reported repeatedly by the lease holder or a candidate; nil: no answers
 	lostAfter    time.Duration // from the start to the first lost read
 	lostFor      time.Duration
 	changedAfter time.Duration // from the end of the losses to the change; may be negative
@@ -89,7 +89,7 @@
 // A read that is never answered must not delay a configuration beyond the bound on
 // changes, even if other instances that have not read it report an older version.
 func TestAChangeComesInForceInTimeThoughReadsAreLost(t *testing.T) {
-	answers := map[string]*told{
+	answers := map[string]*peerStatus{
 		"no holder":                     nil,
 		"a holder that has not read it": {version: 1},
 		"a holder that is cut off":      {version: 1, storeDown: true},
@@ -114,8 +114,8 @@
 
 func (c lostReadsCase) run(t *testing.T) {
 	start := time.Now()
-	source := &lossySource{lostFrom: start.Add(c.lostAfter), lostTo: start.Add(c.lostAfter + c.lostFor)}
-	source.changedAt = source.lostTo.Add(c.changedAfter)
+	source := &lossySource{lossBegin: start.Add(c.lostAfter), lossEnd: start.Add(c.lostAfter + c.lostFor)}
+	source.changedAt = source.lossEnd.Add(c.changedAfter)
 	i := newTestInstance(source)
 	i.view.Nodes = map[string]int{"d": c.instances}
 	i.lease.Heard(c.candidate)
@@ -123,21 +123,21 @@
 	var duties sync.WaitGroup
 	duties.Go(func() { _ = i.followConfig(ctx) }) // returns nil once ctx ends
 	duties.Go(func() {
-		for c.told != nil && ctx.Err() == nil {
-			answer := *c.told
-			answer.at = time.Now()
+		for c.peerStatus != nil && ctx.Err() == nil {
+			answer := *c.peerStatus
+			answer.receivedAt = time.Now()
 			if !answer.confirmedAt.IsZero() { // its age is 0 until reads are lost, and grows from then on
-				answer.confirmedAt = answer.at
-				if answer.at.After(source.lostFrom) {
-					answer.confirmedAt = source.lostFrom
+				answer.confirmedAt = answer.receivedAt
+				if answer.receivedAt.After(source.lossBegin) {
+					answer.confirmedAt = source.lossBegin
 				}
 			}
-			i.heard(answer)
-			time.Sleep(syncMost)
+			i.setPeerStatus(answer)
+			time.Sleep(maxSyncInterval)
 		}
 	})
 	bound := max(c.changedAfter+changeBound, returnBound)
-	time.Sleep(time.Until(source.lostTo.Add(bound)))
+	time.Sleep(time.Until(source.lossEnd.Add(bound)))
 	version, calls := i.configVersion(), source.calls.Load()
 	cancel()
 	duties.Wait()
--- a/instance/leaving_answers_test.go
+++ b/instance/leaving_answers_test.go
@@ -24,12 +24,12 @@
 	drainObservation = 3 * time.Second
 )
 
-// streams requests streams of BusyModel from every instance in a loop until stop is
+// streamLoad requests streams of BusyModel from every instance in a loop until stop is
 // called. stop returns how many streams were complete.
-func (d *deployment) streams() (stop func() int) {
+func (d *deployment) streamLoad() (stop func() int) {
 	var served atomic.Int64
-	stopLoops := d.loopPerInstance(func(_ int, r *running) {
-		if status, _, body := d.ask(r, standin.StreamPath, standin.BusyModel); status == http.StatusOK && strings.Count(body, "\n\n") == 10 {
+	stopLoops := d.loopPerInstance(func(_ int, r *runningInstance) {
+		if status, _, body := d.send(r, standin.StreamPath, standin.BusyModel); status == http.StatusOK && strings.Count(body, "\n\n") == 10 {
 			served.Add(1)
 		}
 	})
@@ -39,10 +39,10 @@
 	}
 }
 
-func (d *deployment) grow(instances int) {
+func (d *deployment) startUpTo(instances int) {
 	for n := len(d.instances); n < instances; n++ {
 		r := d.start(fmt.Sprint("front-", n), d.site.Domains[n%len(d.site.Domains)])
-		d.until(func() bool { return d.ready(r) })
+		d.waitUntil(func() bool { return d.ready(r) })
 	}
 }
 
@@ -50,10 +50,10 @@
 // unavailable, must get no new requests.
 func TestAServerWhoseAnswersSayThatItLeavesGetsNoNewRequests(t *testing.T) {
 	d := deploy(t)
-	d.grow(noticeInstances)
+	d.startUpTo(noticeInstances)
 	d.site.Store.SetDown(true)
 	leaving := d.site.Servers[0]
-	stop := d.streams()
+	stop := d.streamLoad()
 	leaving.Drain()
 	time.Sleep(noticeDelay + drainBound)
 	before := len(leaving.Ran())
--- a/instance/leaving_test.go
+++ b/instance/leaving_test.go
@@ -43,8 +43,8 @@
 		lostAt := time.Now()
 		source := &leavingSource{leavingAt: lostAt.Add(100 * time.Millisecond)}
 		i := newTestInstance(source)
-		i.servers.take(lostAt, read{all: true, next: topology.Position{Offset: 1}, changes: serverChanges(false)}, i.setServers)
-		i.servers.fedUntil = lostAt.Add(fedFor)
+		i.servers.applyRead(lostAt, serversRead{snapshot: true, next: topology.Position{Offset: 1}, changes: serverChanges(false)}, i.setServers)
+		i.servers.holderListValidUntil = lostAt.Add(holderListTTL)
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- i.followServers(ctx) }()
@@ -58,7 +58,7 @@
 
 // Instances must learn from each other, even without a lease holder, that a server's
 // answers said that it is leaving, and not forget it while its entry does not show it.
-func TestOtherInstancesHearThatAServerLeaves(t *testing.T) {
+func TestLeavingServersAreReportedBetweenInstances(t *testing.T) {
 	newInstance := func() *Instance {
 		i := newTestInstance(nil)
 		i.setServers([]topology.Server{{ID: "s"}, {ID: "t"}})
@@ -69,10 +69,10 @@
 	s := reporter.currentView().Servers[0]
 	reporter.addLeavingServer(topology.ServerStart{ID: "s", Start: s.StartID()})
 	for _, i := range []*Instance{reporter, other} {
-		word := i.word()
-		res, err := exchangeServer{candidate}.Sync(t.Context(), syncRequest(word))
+		report := i.report()
+		res, err := exchangeServer{candidate}.Sync(t.Context(), newSyncRequest(report))
 		require.NoError(t, err)
-		i.addLeavingServers(startsOfWire(res.GetLeaving()))
+		i.addLeavingServers(startsFromWire(res.GetLeaving()))
 	}
 	for _, i := range []*Instance{reporter, candidate, other} {
 		require.True(t, i.currentView().Servers[0].Leaving)
--- a/instance/listener.go
+++ b/instance/listener.go
@@ -5,50 +5,51 @@
 	"sync"
 )
 
-// sharedListener lets one http.Server after another accept from one listener:
-// the bounds of a server can't change once it serves.
+// sharedListener lets several http.Servers accept from one listener, one after the other.
+// The limits of an http.Server can't change while it serves, so new limits need a new
+// server.
 type sharedListener struct {
 	net.Listener
-	accepted chan net.Conn
-	failed   chan error
+	accepted    chan net.Conn
+	acceptError chan error
 }
 
 func newSharedListener(l net.Listener) *sharedListener {
-	s := &sharedListener{Listener: l, accepted: make(chan net.Conn), failed: make(chan error, 1)}
-	go s.run()
+	s := &sharedListener{Listener: l, accepted: make(chan net.Conn), acceptError: make(chan error, 1)}
+	go s.acceptLoop()
 	return s
 }
 
-// run accepts until the listener is closed.
-func (s *sharedListener) run() {
+// acceptLoop accepts connections until the listener is closed.
+func (s *sharedListener) acceptLoop() {
 	for {
 		c, err := s.Listener.Accept()
 		if err != nil {
-			s.failed <- err
+			s.acceptError <- err
 			return
 		}
 		s.accepted <- c
 	}
 }
 
-// turn returns a listener that accepts until it is closed, and leaves the
-// shared one open.
-func (s *sharedListener) turn() net.Listener {
-	return &listenerTurn{shared: s, over: make(chan struct{})}
+// child returns a listener that accepts shared connections until it is closed. Closing it
+// leaves the shared listener open.
+func (s *sharedListener) child() net.Listener {
+	return &childListener{shared: s, closed: make(chan struct{})}
 }
 
-type listenerTurn struct {
-	shared *sharedListener
-	once   sync.Once
-	over   chan struct{}
+type childListener struct {
+	shared    *sharedListener
+	closeOnce sync.Once
+	closed    chan struct{}
 }
 
 // Accept implements net.Listener.
-func (t *listenerTurn) Accept() (net.Conn, error) {
+func (t *childListener) Accept() (net.Conn, error) {
 	select {
-	case <-t.over:
+	case <-t.closed:
 		return nil, net.ErrClosed
-	case err := <-t.shared.failed:
+	case err := <-t.shared.acceptError:
 		return nil, err
 	case c := <-t.shared.accepted:
 		return c, nil
@@ -56,10 +57,10 @@
 }
 
 // Close implements net.Listener.
-func (t *listenerTurn) Close() error {
-	t.once.Do(func() { close(t.over) })
+func (t *childListener) Close() error {
+	t.closeOnce.Do(func() { close(t.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (t *listenerTurn) Addr() net.Addr { return t.shared.Addr() }
+func (t *childListener) Addr() net.Addr { return t.shared.Addr() }
--- a/instance/log.go
+++ b/instance/log.go
@@ -7,13 +7,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// serverLog turns what net/http says of broken connections into log lines.
-type serverLog struct{ log logrus.FieldLogger }
+// httpErrorLog writes the errors that net/http reports on connections to the log.
+type httpErrorLog struct{ log logrus.FieldLogger }
 
 // Write implements io.Writer. It takes one line.
-func (l serverLog) Write(line []byte) (int, error) {
+func (l httpErrorLog) Write(line []byte) (int, error) {
 	l.log.WithField("error", string(bytes.TrimSpace(line))).Debug("connection problem")
 	return len(line), nil
 }
 
-func newServerLog(log logrus.FieldLogger) *stdlog.Logger { return stdlog.New(serverLog{log}, "", 0) }
+func newHTTPErrorLog(log logrus.FieldLogger) *stdlog.Logger {
+	return stdlog.New(httpErrorLog{log}, "", 0)
+}
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -8,30 +8,30 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// latencyBounds are the upper bounds of the latency histograms' buckets, in
-// seconds: dense around the goals of some hundred milliseconds. They are the same
-// on all instances, so that their buckets can be added up.
-var latencyBounds = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, 15}
+// latencyBuckets are the upper bounds of the latency histograms' buckets, in seconds.
+// They are dense around the latency goals of some hundred milliseconds, and the same on
+// all instances, so that buckets can be added up.
+var latencyBuckets = []float64{0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.5, 0.75, 1, 1.5, 2.5, 5, 10, 15}
 
-// namespace begins the names of all metrics.
+// namespace is the prefix of all metric names.
 const namespace = "greengageferry"
 
-// metrics counts what happens, for the operators. It implements relay.Metrics.
-// Labels are bounded: outcomes, actions, reasons and calls are constants.
+// metrics holds the Prometheus metrics of an instance. It implements relay.Metrics. The
+// label values are bounded: outcomes, actions, reasons and calls are constants.
 type metrics struct {
 	registry *prometheus.Registry
 
-	requests      *prometheus.CounterVec // by outcome
-	decisions     *prometheus.CounterVec // by action and reason
-	orders        *prometheus.CounterVec // by result
-	sentLimited   prometheus.Counter
-	storeFailures prometheus.Counter
-	storeEras     prometheus.Counter
-	took          prometheus.Histogram
-	firstByte     prometheus.Histogram
-	wait          prometheus.Histogram
-	eventGap      prometheus.Histogram
-	storeCalls    *prometheus.HistogramVec // by what is read
+	requests        *prometheus.CounterVec // by outcome
+	decisions       *prometheus.CounterVec // by action and reason
+	orders          *prometheus.CounterVec // by result
+	sentRateLimited prometheus.Counter
+	storeFailures   prometheus.Counter
+	storeEras       prometheus.Counter
+	duration        prometheus.Histogram
+	firstByte       prometheus.Histogram
+	wait            prometheus.Histogram
+	eventGap        prometheus.Histogram
+	storeCalls      *prometheus.HistogramVec // by kind of read
 }
 
 func newMetrics() *metrics {
@@ -39,14 +39,14 @@
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 	}
 	histogram := func(name, help string) prometheus.Histogram {
-		return prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: latencyBounds})
+		return prometheus.NewHistogram(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: latencyBuckets})
 	}
 	m := &metrics{
 		registry:  prometheus.NewRegistry(),
 		requests:  counters("requests_total", "Requests by the class of their end.", "outcome"),
 		decisions: counters("decisions_total", "Decisions about requests.", "action", "reason"),
 		orders:    counters("orders_total", "Orders to servers.", "result"),
-		sentLimited: prometheus.NewCounter(prometheus.CounterOpts{
+		sentRateLimited: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "sent_rate_limited_total", Help: "Attempts at servers that name a rate limit.",
 		}),
 		storeFailures: prometheus.NewCounter(prometheus.CounterOpts{
@@ -55,27 +55,27 @@
 		storeEras: prometheus.NewCounter(prometheus.CounterOpts{
 			Namespace: namespace, Name: "store_eras_total", Help: "Times that the platform's store came back from an older copy.",
 		}),
-		took:      histogram("request_seconds", "From a request's arrival to its end."),
+		duration:  histogram("request_seconds", "From a request's arrival to its end."),
 		firstByte: histogram("first_byte_seconds", "From a request's arrival to its answer's first byte."),
 		wait:      histogram("wait_seconds", "From a request's arrival to its first attempt."),
 		eventGap:  histogram("event_gap_seconds", "The longest pause of a stream."),
 		storeCalls: prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Namespace: namespace, Name: "store_call_seconds", Help: "Reads of the platform's store, their waiting included.", Buckets: latencyBounds,
+			Namespace: namespace, Name: "store_call_seconds", Help: "Reads of the platform's store, their waiting included.", Buckets: latencyBuckets,
 		}, []string{"read"}),
 	}
-	m.registry.MustRegister(m.requests, m.decisions, m.orders, m.sentLimited, m.storeFailures, m.storeEras, m.took, m.firstByte, m.wait, m.eventGap, m.storeCalls)
+	m.registry.MustRegister(m.requests, m.decisions, m.orders, m.sentRateLimited, m.storeFailures, m.storeEras, m.duration, m.firstByte, m.wait, m.eventGap, m.storeCalls)
 	return m
 }
 
-// gauge registers a gauge of what the instance believes.
+// gauge registers a gauge whose value is computed on each scrape.
 func (m *metrics) gauge(name, help string, value func() float64) {
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, value))
 }
 
 // Ended implements relay.Metrics.
-func (m *metrics) Ended(outcome string, took time.Duration) {
+func (m *metrics) Ended(outcome string, duration time.Duration) {
 	m.requests.WithLabelValues(outcome).Inc()
-	m.took.Observe(took.Seconds())
+	m.duration.Observe(duration.Seconds())
 }
 
 // FirstByte implements relay.Metrics.
@@ -91,13 +91,13 @@
 func (m *metrics) Decided(action, reason string) { m.decisions.WithLabelValues(action, reason).Inc() }
 
 // SentLimited implements relay.Metrics.
-func (m *metrics) SentLimited() { m.sentLimited.Inc() }
+func (m *metrics) SentLimited() { m.sentRateLimited.Inc() }
 
-// ordered counts an order to a server.
-func (m *metrics) ordered(result string) { m.orders.WithLabelValues(result).Inc() }
+// countOrder counts an order to a server by its result.
+func (m *metrics) countOrder(result string) { m.orders.WithLabelValues(result).Inc() }
 
-// storeCall observes a read of the store.
-func (m *metrics) storeCall(read string, began time.Time) {
+// observeStoreCall observes the duration of a read of the store.
+func (m *metrics) observeStoreCall(read string, began time.Time) {
 	m.storeCalls.WithLabelValues(read).Observe(time.Since(began).Seconds())
 }
 
@@ -106,8 +106,8 @@
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// believe registers the gauges of what the instance believes, and how old it is.
-func (i *Instance) believe() {
+// registerGauges registers the gauges of the instance's state and of how old that is.
+func (i *Instance) registerGauges() {
 	g := i.metrics.gauge
 	g("config_version", "Version of the configuration in force, 0: none.", func() float64 { return float64(i.configVersion()) })
 	g("config_confirmed_age_seconds", "Since the configuration in force was last known to be the newest; -1: never.", func() float64 {
@@ -120,17 +120,17 @@
 	g("store_answer_age_seconds", "Since the store last answered this instance; -1: never.", func() float64 {
 		i.mu.Lock()
 		defer i.mu.Unlock()
-		return float64(ageMs(i.storeAt)) / 1000
+		return float64(ageMs(i.storeAnsweredAt)) / 1000
 	})
-	g("store_down", "1 while the store doesn't answer this instance.", func() float64 { return oneIf(i.storeIsDown()) })
-	g("lease_held", "1 while this instance holds the lease.", func() float64 { return oneIf(i.lease.Holds()) })
-	g("instances", "Live instances.", func() float64 { return float64(i.instances()) })
+	g("store_down", "1 while the store doesn't answer this instance.", func() float64 { return boolToFloat(i.storeIsDown()) })
+	g("lease_held", "1 while this instance holds the lease.", func() float64 { return boolToFloat(i.lease.Holds()) })
+	g("instances", "Live instances.", func() float64 { return float64(i.instanceCount()) })
 	g("servers_rate_limited", "Servers that name a rate limit.", func() float64 { return float64(i.relay.RateLimited()) })
 	g("servers_paused", "Servers that get no requests from this instance until their Retry-After has passed.", func() float64 { return float64(i.relay.Paused()) })
 	g("requests_in_hand", "Requests in hand.", func() float64 { return float64(i.relay.InHand()) })
 }
 
-func oneIf(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/instance/metrics_test.go
+++ b/instance/metrics_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestMetricsAreServedAsTextWithBucketsThatAddUp(t *testing.T) {
+func TestMetricsAreServedInPrometheusTextFormat(t *testing.T) {
 	m := newMetrics()
 	m.Ended("done", 30*time.Millisecond)
 	m.Decided("dispatch", "best_score")
 	m.FirstByte(20 * time.Millisecond)
 	m.Waited(time.Millisecond)
 	m.Gap(time.Minute)
-	m.ordered("accepted")
+	m.countOrder("accepted")
 	m.SentLimited()
-	m.storeCall("servers", time.Now())
+	m.observeStoreCall("servers", time.Now())
 	m.gauge("config_version", "help", func() float64 { return 7 })
 	w := httptest.NewRecorder()
 	m.handler().ServeHTTP(w, httptest.NewRequest("GET", "/metrics", nil))
--- a/instance/retry_after_test.go
+++ b/instance/retry_after_test.go
@@ -23,11 +23,11 @@
 // until the time has passed. Instances must use the server again once it accepts requests.
 func TestAServerThatAsksForAPauseGetsIt(t *testing.T) {
 	d := deploy(t)
-	d.grow(noticeInstances)
+	d.startUpTo(noticeInstances)
 	var mu sync.Mutex
 	sender := map[string]int{} // instance by request id
-	stopLoops := d.loopPerInstance(func(n int, r *running) {
-		_, id, _ := d.ask(r, standin.StreamPath, standin.BusyModel)
+	stopLoops := d.loopPerInstance(func(n int, r *runningInstance) {
+		_, id, _ := d.send(r, standin.StreamPath, standin.BusyModel)
 		mu.Lock()
 		defer mu.Unlock()
 		sender[id] = n
@@ -50,7 +50,7 @@
 		require.LessOrEqual(t, sent, maxWithinRetryAfter, "from instance %d", sender[first.ID])
 	}
 	before := len(server.Ran())
-	stop := d.streams()
-	d.until(func() bool { return len(server.Ran()) > before })
+	stop := d.streamLoad()
+	d.waitUntil(func() bool { return len(server.Ran()) > before })
 	stop()
 }
--- a/instance/servers.go
+++ b/instance/servers.go
@@ -9,112 +9,115 @@
 	"greengageferry/topology"
 )
 
-// fedFor is how long after the store last answered the lease holder its list of
-// servers stands in for a read of one's own. The holder reads every 0.4 s and is
-// asked every 0.5 s, so the list is 1.3 s old at most; beyond fedFor an
-// instance reads the store itself, and still knows a leaving server within the
+// holderListTTL is how long after the store last answered the lease holder the holder's
+// list of servers replaces a read by this instance. The holder reads every 0.4 s and is
+// synced with every 0.5 s, so the list is at most 1.3 s old. After holderListTTL an
+// instance reads the store itself, and still learns that a server is leaving within the
 // two seconds that the platform allows.
 //
-// It saves calls to the store: 72 instances that each read for themselves made
-// 113 calls a second, a tenth of all that callers were worth.
-const fedFor = 1400 * time.Millisecond
-
-// serverList is the instance's list of servers: as it reads it in the store, or
-// as the lease holder tells it. Both lead to the same lists, since both take the
-// same steps; a digest says where two instances stand.
+// Using the holder's list saves calls to the store: when 72 instances each read for
+// themselves, they made 113 calls per second, whose cost was a tenth of the value of all
+// callers' requests.
+const holderListTTL = 1400 * time.Millisecond
+
+// serverList is the instance's list of servers, either read from the store or copied from
+// the lease holder. Both ways apply the same steps and so lead to the same lists. A
+// digest identifies each list, so that two instances can compare theirs.
 type serverList struct {
-	mu       sync.Mutex
-	fleet    *topology.Fleet
-	at       topology.Position // of the store, up to which the list is read
-	freshAt  time.Time         // when the store said so, to this instance or the holder
-	fedUntil time.Time         // until then the holder's word stands in for a read
+	mu                   sync.Mutex
+	fleet                *topology.Fleet
+	readPosition         topology.Position // position in the store up to which the list was read
+	asOf                 time.Time         // when the store confirmed the list, to this instance or the holder
+	holderListValidUntil time.Time         // until then the holder's list replaces a read of the store
 }
 
-func newServerList() *serverList { return &serverList{fleet: topology.NewFleet(), at: unread} }
+func newServerList() *serverList {
+	return &serverList{fleet: topology.NewFleet(), readPosition: noPosition}
+}
 
-// fed says whether the holder's word stands in for a read.
-func (l *serverList) fed(now time.Time) bool {
+// holderListValid reports whether the holder's list replaces a read of the store.
+func (l *serverList) holderListValid(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Before(l.fedUntil)
+	return now.Before(l.holderListValidUntil)
 }
 
-// fresh says whether the list is as new as a holder's word would be that stands
-// in for a read.
+// fresh reports whether the list is recent enough to replace a read of the store, whether
+// it came from the holder or not.
 func (l *serverList) fresh(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return now.Sub(l.freshAt) < fedFor
+	return now.Sub(l.asOf) < holderListTTL
 }
 
-// unfed has the next list read in the store: the holder is lost.
-func (l *serverList) unfed() {
+// invalidateHolderList makes the instance read the store next, after the holder is lost.
+func (l *serverList) invalidateHolderList() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fedUntil = time.Time{}
+	l.holderListValidUntil = time.Time{}
 }
 
-// ageSeconds returns how old the list is, -1 before the first.
+// ageSeconds returns the age of the list, -1 before the first.
 func (l *serverList) ageSeconds() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return float64(ageMs(l.freshAt)) / 1000
+	return float64(ageMs(l.asOf)) / 1000
 }
 
-// position returns where in the store the next read goes on.
+// position returns where in the store the next read continues.
 func (l *serverList) position() topology.Position {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.at
+	return l.readPosition
 }
 
-// read is what a read of the store brought.
-type read struct {
-	from    topology.Position
-	next    topology.Position
-	all     bool // the newest of each server, not what followed from
-	changes []topology.ServerChange
+// serversRead is the result of a read of the store.
+type serversRead struct {
+	from     topology.Position
+	next     topology.Position
+	snapshot bool // changes holds the newest entry of each server, not the changes after from
+	changes  []topology.ServerChange
 }
 
-// reread has the next read begin with the newest of each server.
-func (l *serverList) reread() {
+// requireSnapshot makes the next read fetch the newest entry of each server.
+func (l *serverList) requireSnapshot() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.at = unread
+	l.readPosition = noPosition
 }
 
-// storeRestored has the next read begin with the newest of each server after the store was
-// restored from an older copy. Servers without an entry are kept for a while, since live
-// ones write theirs again.
-func (l *serverList) storeRestored(now time.Time) {
+// onStoreRestored makes the next read fetch the newest entry of each server after the
+// store was restored from an older copy. Servers without an entry are kept for a while,
+// since live ones write theirs again.
+func (l *serverList) onStoreRestored(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.at = unread
+	l.readPosition = noPosition
 	l.fleet.StoreBack(now)
 }
 
-// take takes in a read, and hands the list on where anything but heartbeats changed.
-func (l *serverList) take(now time.Time, r read, changedTo func([]topology.Server)) {
+// applyRead applies a read, and calls onChange if anything but heartbeats changed.
+func (l *serverList) applyRead(now time.Time, r serversRead, onChange func([]topology.Server)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !r.all && r.from != l.at {
-		return // the holder has told more meanwhile
+	if !r.snapshot && r.from != l.readPosition {
+		return // the holder's steps have moved the position in the meantime
 	}
 	var changed bool
-	if r.all {
+	if r.snapshot {
 		changed = l.fleet.Reset(now, r.changes)
 	} else {
 		changed = l.fleet.Apply(now, r.changes)
 	}
 	changed = l.fleet.Expire(now) || changed
-	l.at, l.freshAt = r.next, now
-	if changed || r.all {
-		changedTo(l.fleet.Servers())
+	l.readPosition, l.asOf = r.next, now
+	if changed || r.snapshot {
+		onChange(l.fleet.Servers())
 	}
 }
 
-// storeBack notes that the store answers again after it didn't.
-func (l *serverList) storeBack(now time.Time) {
+// onStoreReturn records that the store answers again after an outage.
+func (l *serverList) onStoreReturn(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.fleet.StoreBack(now)
@@ -126,18 +129,19 @@
 	return l.fleet.Digest()
 }
 
-// steps returns what an instance with a digest has to be told, with the loads of
-// all servers where they are known; nil where its list isn't among the newest of this one.
-func (l *serverList) steps(now time.Time, digest uint64, loads map[string]residency.Load) *exchange.ServerSteps {
+// stepsSince returns the steps from the list with the given digest to the current one,
+// with the loads of all servers if loads isn't nil. It returns nil if that list isn't
+// among the recent ones that are kept.
+func (l *serverList) stepsSince(now time.Time, digest uint64, loads map[string]residency.Load) *exchange.ServerSteps {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	deltas, ok := l.fleet.Since(digest)
-	if !ok || l.freshAt.IsZero() {
+	if !ok || l.asOf.IsZero() {
 		return nil
 	}
-	out := &exchange.ServerSteps{Digest: l.fleet.Digest(), Position: l.at.Offset, Era: l.at.Era, AgeMs: uint32(now.Sub(l.freshAt).Milliseconds())}
+	out := &exchange.ServerSteps{Digest: l.fleet.Digest(), Position: l.readPosition.Offset, Era: l.readPosition.Era, AgeMs: uint32(now.Sub(l.asOf).Milliseconds())}
 	for n := range deltas {
-		out.Steps = append(out.Steps, stepOf(&deltas[n]))
+		out.Steps = append(out.Steps, wireStep(&deltas[n]))
 	}
 	if loads == nil {
 		return out
@@ -150,51 +154,52 @@
 	return out
 }
 
-// follow takes in what the holder told, as an answer to a word that was sent at
-// a time, and hands the list on where it changed. It returns the loads by server,
-// nil where the holder's list isn't this one.
-func (l *serverList) follow(sent time.Time, told *exchange.ServerSteps, changedTo func([]topology.Server)) map[string]residency.Load {
+// applySteps applies the steps in the holder's response to a request that was sent at the
+// given time, and calls onChange if the list changed. It returns the loads by server, or
+// nil if the holder's list differs from the resulting one.
+func (l *serverList) applySteps(sent time.Time, steps *exchange.ServerSteps, onChange func([]topology.Server)) map[string]residency.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	fresh := sent.Add(-time.Duration(told.GetAgeMs()) * time.Millisecond)
-	if told == nil {
+	stepsAsOf := sent.Add(-time.Duration(steps.GetAgeMs()) * time.Millisecond)
+	if steps == nil {
 		return nil
 	}
-	if fresh.After(l.freshAt) {
-		l.carryOut(told, fresh, changedTo)
+	if stepsAsOf.After(l.asOf) {
+		l.applyDeltas(steps, stepsAsOf, onChange)
 	}
 	ids := l.fleet.IDs()
-	if told.GetDigest() != l.fleet.Digest() || len(told.GetLoads()) != len(ids) || len(told.GetUnreadTokens()) != len(ids) || len(told.GetContending()) != len(ids) {
+	if steps.GetDigest() != l.fleet.Digest() || len(steps.GetLoads()) != len(ids) || len(steps.GetUnreadTokens()) != len(ids) || len(steps.GetContending()) != len(ids) {
 		return nil
 	}
 	loads := make(map[string]residency.Load, len(ids))
 	for n, id := range ids {
-		loads[id] = residency.Load{InFlight: int(told.GetLoads()[n]), Unread: int(told.GetUnreadTokens()[n]), Contending: int(told.GetContending()[n])}
+		loads[id] = residency.Load{InFlight: int(steps.GetLoads()[n]), Unread: int(steps.GetUnreadTokens()[n]), Contending: int(steps.GetContending()[n])}
 	}
 	return loads
 }
 
-// carryOut takes the holder's steps, which are as old as fresh. The lock is held.
-func (l *serverList) carryOut(told *exchange.ServerSteps, fresh time.Time, changedTo func([]topology.Server)) {
-	deltas := make([]topology.Delta, 0, len(told.GetSteps()))
-	for _, s := range told.GetSteps() {
-		deltas = append(deltas, deltaOf(s))
+// applyDeltas applies the holder's steps, which were current at asOf. The caller must
+// hold mu.
+func (l *serverList) applyDeltas(steps *exchange.ServerSteps, stepsAsOf time.Time, onChange func([]topology.Server)) {
+	deltas := make([]topology.Delta, 0, len(steps.GetSteps()))
+	for _, s := range steps.GetSteps() {
+		deltas = append(deltas, deltaFromWire(s))
 	}
 	before := l.fleet.Digest()
-	if l.fleet.Follow(deltas, told.GetDigest()) {
-		l.at, l.freshAt, l.fedUntil = topology.Position{Era: told.GetEra(), Offset: told.GetPosition()}, fresh, fresh.Add(fedFor)
+	if l.fleet.Follow(deltas, steps.GetDigest()) {
+		l.readPosition, l.asOf, l.holderListValidUntil = topology.Position{Era: steps.GetEra(), Offset: steps.GetPosition()}, stepsAsOf, stepsAsOf.Add(holderListTTL)
 	} else {
-		l.at, l.fedUntil = unread, time.Time{}
+		l.readPosition, l.holderListValidUntil = noPosition, time.Time{}
 	}
 	if l.fleet.Digest() != before {
-		changedTo(l.fleet.Servers())
+		onChange(l.fleet.Servers())
 	}
 }
 
-// unread is the position of a list that has to be read anew.
-var unread = topology.Position{Offset: -1}
+// noPosition is the read position of a list that has to be read in full.
+var noPosition = topology.Position{Offset: -1}
 
-func stepOf(d *topology.Delta) *exchange.ServerStep {
+func wireStep(d *topology.Delta) *exchange.ServerStep {
 	out := &exchange.ServerStep{Id: d.ID, Gone: d.Gone, Added: wireModels(d.Added), Lost: wireModels(d.Lost)}
 	if s := d.Server; s != nil {
 		out.Server = &exchange.Server{
@@ -205,12 +210,12 @@
 	return out
 }
 
-func deltaOf(s *exchange.ServerStep) topology.Delta {
-	d := topology.Delta{ID: s.GetId(), Gone: s.GetGone(), Added: modelsOf(s.GetAdded()), Lost: modelsOf(s.GetLost())}
+func deltaFromWire(s *exchange.ServerStep) topology.Delta {
+	d := topology.Delta{ID: s.GetId(), Gone: s.GetGone(), Added: modelsFromWire(s.GetAdded()), Lost: modelsFromWire(s.GetLost())}
 	if w := s.GetServer(); w != nil {
 		d.Server = &topology.Server{
 			ID: s.GetId(), Service: w.GetService(), Addr: w.GetAddr(), Domain: w.GetFailureDomain(), Slots: int(w.GetSlots()),
-			Leaving: w.GetLeaving(), Born: time.UnixMilli(w.GetBornMs()), Models: modelsOf(w.GetModels()), OnDisk: w.GetOnDisk(),
+			Leaving: w.GetLeaving(), Born: time.UnixMilli(w.GetBornMs()), Models: modelsFromWire(w.GetModels()), OnDisk: w.GetOnDisk(),
 		}
 	}
 	return d
@@ -224,7 +229,7 @@
 	return out
 }
 
-func modelsOf(models []*exchange.HeldModel) []topology.HeldModel {
+func modelsFromWire(models []*exchange.HeldModel) []topology.HeldModel {
 	var out []topology.HeldModel
 	for _, m := range models {
 		out = append(out, topology.HeldModel{Name: m.GetName(), Version: m.GetVersion(), Adapters: m.GetAdapters()})
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -10,34 +10,34 @@
 	"greengageferry/topology"
 )
 
-// shareholder is an instance of a deployment of 295 in six failure domains, whose
-// platform allows 630 repeats in ten seconds beyond a fifth of all requests.
-func shareholder() *Instance {
+// newRetryInstance returns one of 295 instances in six failure domains, whose platform
+// allows 630 retries in ten seconds beyond a fifth of all requests.
+func newRetryInstance() *Instance {
 	i := &Instance{}
 	i.node.Store(&topology.Node{RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetryReserve: 630})
 	return i
 }
 
-const shareholders = 295
+const retryInstances = 295
 
-// repeats returns what all instances may repeat within a window where nothing
-// succeeds, each by a policy.
-func repeats(p decide.RetryPolicy) float64 { return shareholders * (p.Reserve + 10*p.Trickle) }
+// totalRetries returns how many retries all instances together may send within a window
+// of ten seconds under a policy if no request succeeds.
+func totalRetries(p decide.RetryPolicy) float64 { return retryInstances * (p.Reserve + 10*p.Trickle) }
 
-// All were killed and start again: until one holds the lease, seconds later, none has
-// been told how many they are. Each took itself for one of eighteen, and together they
-// would have repeated 8,260 requests in ten seconds, of 630 allowed.
-func TestRepeatsAreBoundedBeforeInstancesAreCounted(t *testing.T) {
+// After all instances are killed and restarted, none knows the number of instances until
+// one of them holds the lease, which takes seconds. When each assumed eighteen instances,
+// together they would have sent 8,260 retries in ten seconds, of 630 allowed.
+func TestRetriesAreBoundedBeforeInstancesAreCounted(t *testing.T) {
 	v := topology.View{Nodes: map[string]int{}}
 	for _, domain := range []string{"a", "b", "c", "d", "e", "f"} {
-		v.Nodes[domain] = assumedInstances
+		v.Nodes[domain] = assumedInstancesPerDomain
 	}
-	p := shareholder().retryPolicy(&v)
-	require.LessOrEqual(t, repeats(p), 630.0)
+	p := newRetryInstance().retryPolicy(&v)
+	require.LessOrEqual(t, totalRetries(p), 630.0)
 	require.GreaterOrEqual(t, p.Reserve, 1.0, "a server that dies costs a request nothing")
 }
 
-func TestRepeatsAreBoundedOnceInstancesAreCounted(t *testing.T) {
+func TestRetriesAreBoundedOnceInstancesAreCounted(t *testing.T) {
 	v := topology.View{Nodes: map[string]int{"a": 100, "b": 195}, Counted: true}
-	require.LessOrEqual(t, repeats(shareholder().retryPolicy(&v)), 630.0)
+	require.LessOrEqual(t, totalRetries(newRetryInstance().retryPolicy(&v)), 630.0)
 }
--- a/instance/sync.go
+++ b/instance/sync.go
@@ -22,38 +22,39 @@
 )
 
 const (
-	// The time between two words to the lease holder is syncShare for each instance
-	// that there is, within syncLeast and syncMost: demand, loads and servers are
-	// told that late at most, and streams are served in time by it; the holder has
-	// as many words to answer as it can.
-	syncLeast = 200 * time.Millisecond
-	syncMost  = 500 * time.Millisecond
-	// syncSpacing is the least time between two of them, where requests wait for
-	// a model that no server holds; with many instances it is syncShare for each.
-	// With 86 on links of 10 Mbit/s, 60 ms brought 1,400 words a second, and the
-	// holder's own renewals timed out.
-	syncSpacing = 60 * time.Millisecond
-	syncShare   = 6 * time.Millisecond
-	// syncTimeout bounds one.
+	// The interval between two syncs with the lease holder is syncIntervalPerInstance
+	// times the number of instances, within minSyncInterval and maxSyncInterval. Demand,
+	// loads and servers are reported with at most that delay, which is short enough to
+	// serve streams in time, and the holder is sent no more syncs than it can answer.
+	minSyncInterval = 200 * time.Millisecond
+	maxSyncInterval = 500 * time.Millisecond
+	// minSyncSpacing is the minimum time between two syncs while requests wait for a
+	// model that no server holds. With many instances, syncIntervalPerInstance times
+	// their number applies instead: with 86 instances on links of 10 Mbit/s, 60 ms led to
+	// 1,400 syncs per second, and the holder's own lease renewals timed out.
+	minSyncSpacing          = 60 * time.Millisecond
+	syncIntervalPerInstance = 6 * time.Millisecond
+	// syncTimeout bounds one Sync call and one query of the store for the lease holder.
 	syncTimeout = 400 * time.Millisecond
-	// idleHolder is how long a holder that may not order is believed to be the
-	// holder: longer than a new one waits before its first order.
-	idleHolder = 2500 * time.Millisecond
-	// expectedFor is how long after a holder last said that it may order requests
-	// wait for a model that no server holds. A new holder takes some five
-	// seconds; after that an answer is not in sight, and they are refused.
-	expectedFor = 6 * time.Second
-	// peerIdle bounds the unused connections to another instance.
-	peerIdle = 2
+	// holderIdleTimeout is how long an instance that may not order is still considered
+	// the lease holder. It is longer than a new holder waits before its first order.
+	holderIdleTimeout = 2500 * time.Millisecond
+	// onDemandLoadTimeout is how long requests for a model that no server holds wait
+	// after a holder last reported that it may order. A new holder takes about five
+	// seconds to take over; beyond that no load is in sight, and such requests are
+	// refused.
+	onDemandLoadTimeout = 6 * time.Second
+	// maxIdlePeerConns bounds the idle connections to another instance.
+	maxIdlePeerConns = 2
 )
 
-// memberName names a start of an instance in the platform's group: its name,
-// its address for other instances, and when it started.
+// memberName returns the unique name of one start of an instance in the platform's group:
+// the instance's name, its address for other instances, and its start time.
 func memberName(n *topology.Node, started time.Time) string {
 	return n.Name + "|" + n.PeerAddr + "|" + strconv.FormatInt(started.UnixNano(), 36)
 }
 
-// memberAddr returns the address in a member's name, empty if it bears none.
+// memberAddr returns the address in a member's name, empty if the name has none.
 func memberAddr(member string) string {
 	parts := strings.Split(member, "|")
 	if len(parts) != 3 {
@@ -62,30 +63,31 @@
 	return parts[1]
 }
 
-// syncer tells the lease holder what this instance is asked for, and takes in
-// what the holder knows of all.
+// syncer reports this instance's state to the lease holder, and applies the holder's
+// summary of all instances.
 type syncer struct {
-	instance   *Instance
-	client     *http.Client
-	directory  directory
-	candidates residency.Candidates // as the holder last told them
+	instance      *Instance
+	client        *http.Client
+	holderLocator holderLocator
+	candidates    residency.Candidates // as last reported by the holder
 }
 
 func newSyncer(i *Instance) *syncer {
 	n, now := i.opts.Node, time.Now()
-	apart := rand.N(askFirst) // so that instances alike don't all ask at once
+	jitter := rand.N(baseQueryDelay) // so that equal instances don't query the store at the same time
 	return &syncer{
 		instance: i,
-		client:   &http.Client{Transport: netconn.NewIdleClosingTransport(peerIdle, time.Minute)},
-		directory: directory{
-			domain: n.Domain, begun: now.Add(askAfter(n.Cores) + apart), stands: now.Add(standAfter(n.Cores) + apart),
+		client:   &http.Client{Transport: netconn.NewIdleClosingTransport(maxIdlePeerConns, time.Minute)},
+		holderLocator: holderLocator{
+			domain: n.Domain, queryFrom: now.Add(queryDelay(n.Cores) + jitter), competeFrom: now.Add(competeDelay(n.Cores) + jitter),
 		},
 	}
 }
 
-// run is the duty.
+// run is the duty that syncs at intervals, and sooner when a request waits for a model
+// that no server holds.
 func (s *syncer) run(ctx context.Context) error {
-	timer := time.NewTimer(syncMost)
+	timer := time.NewTimer(maxSyncInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -95,51 +97,56 @@
 		case <-s.instance.relay.Wanted():
 		}
 		if s.instance.ready() {
-			s.once(ctx)
+			s.syncOnce(ctx)
 			s.instance.mu.Lock()
-			s.instance.noteExpected()
+			s.instance.updateExpected()
 			s.instance.mu.Unlock()
 		}
-		timer.Reset(s.instance.syncEvery())
-		supervise.Pause(ctx, min(max(syncSpacing, s.instance.syncShared()), syncMost))
+		timer.Reset(s.instance.syncInterval())
+		supervise.Pause(ctx, min(max(minSyncSpacing, s.instance.scaledSyncInterval()), maxSyncInterval))
 	}
 }
 
-// syncShared is the time between two words with which the holder gets one for
-// each syncShare.
-func (i *Instance) syncShared() time.Duration { return time.Duration(i.instances()) * syncShare }
+// scaledSyncInterval is the interval at which the holder receives one sync per
+// syncIntervalPerInstance.
+func (i *Instance) scaledSyncInterval() time.Duration {
+	return time.Duration(i.instanceCount()) * syncIntervalPerInstance
+}
 
-// syncEvery is the time between two words where no request waits.
-func (i *Instance) syncEvery() time.Duration { return min(max(i.syncShared(), syncLeast), syncMost) }
+// syncInterval is the interval between two syncs while no request waits for a model that
+// no server holds.
+func (i *Instance) syncInterval() time.Duration {
+	return min(max(i.scaledSyncInterval(), minSyncInterval), maxSyncInterval)
+}
 
-// once says one word, to a second instance where the first doesn't answer or
-// isn't the holder.
-func (s *syncer) once(ctx context.Context) {
+// syncOnce sends one report, and tries a second instance if the first doesn't answer or
+// isn't the lease holder.
+func (s *syncer) syncOnce(ctx context.Context) {
 	i := s.instance
-	word := i.word()
-	word.Candidates = s.candidates.Digest()
+	report := i.report()
+	report.Candidates = s.candidates.Digest()
 	if i.lease.Holds() {
-		summary, err := i.controller.Said(time.Now(), word)
+		summary, err := i.controller.Said(time.Now(), report)
 		if err == nil {
 			i.lease.Heard(summary.Chosen) // a holder that loses the lease stays a candidate
-			i.learn(time.Now(), summary)
-			i.heard(told{at: time.Now(), version: summary.Version})
+			i.update(time.Now(), summary)
+			i.setPeerStatus(peerStatus{receivedAt: time.Now(), version: summary.Version})
 		}
-		return // the lease has just gone: the next word finds the new holder
+		return // on an error the lease was just lost, and the next sync finds the new holder
 	}
 	for range 2 {
-		if s.directory.asksStore(time.Now(), i.lease.Stands(), i.instances()) {
-			s.askStore(ctx)
+		if s.holderLocator.shouldQueryStore(time.Now(), i.lease.Stands(), i.instanceCount()) {
+			s.queryStore(ctx)
 		}
-		addr := s.directory.peer(i.lease.Stands())
-		if addr == "" || s.tell(ctx, addr, word) {
+		addr := s.holderLocator.nextPeer(i.lease.Stands())
+		if addr == "" || s.syncWith(ctx, addr, report) {
 			return
 		}
 	}
 }
 
-// word is what this instance says now.
-func (i *Instance) word() residency.Word {
+// report returns this instance's current report to the lease holder.
+func (i *Instance) report() residency.Word {
 	n := i.opts.Node
 	return residency.Word{
 		Instance: n.Name, Domain: n.Domain, Addr: n.PeerAddr, Cores: n.Cores,
@@ -149,73 +156,73 @@
 	}
 }
 
-// tell says a word to an instance, and returns whether that was the lease holder,
-// or nobody else can be asked.
-func (s *syncer) tell(ctx context.Context, addr string, word residency.Word) bool {
+// syncWith sends a report to an instance. It returns true if that instance holds the
+// lease, or doesn't know who does, so that there is nobody else to ask.
+func (s *syncer) syncWith(ctx context.Context, addr string, report residency.Word) bool {
 	i := s.instance
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
 	client := exchange.NewExchangeProtobufClient("http://"+addr, s.client)
 	sent := time.Now()
-	req := syncRequest(word)
+	req := newSyncRequest(report)
 	req.ServersDigest, req.StoreEra, req.Token = i.servers.digest(), i.storeEra(), wireToken(i.lease.Token())
 	res, err := client.Sync(ctx, req)
 	if err != nil {
-		s.failed(addr, err)
+		s.onPeerFailure(addr, err)
 		return false
 	}
 	now := time.Now()
 	if i.observeEra(res.GetStoreEra(), "instance") == eraStale {
 		res.Servers, res.ConfigAgeMs = nil, nil // they predate the restore of the store
 	}
-	i.lease.ObserveToken(tokenOfWire(res.GetToken()))
-	i.addLeavingServers(startsOfWire(res.GetLeaving()))
+	i.lease.ObserveToken(tokenFromWire(res.GetToken()))
+	i.addLeavingServers(startsFromWire(res.GetLeaving()))
 	var loads map[string]residency.Load
 	if res.GetServers() != nil {
-		loads = i.servers.follow(sent, res.GetServers(), i.setServers)
+		loads = i.servers.applySteps(sent, res.GetServers(), i.setServers)
 	}
 	if res.GetNotHolder() {
-		s.directory.referred(now, res.GetHolder())
-		i.heard(toldOf(sent, res, ""))
-		return s.directory.holder == ""
+		s.holderLocator.onReferral(now, res.GetHolder())
+		i.setPeerStatus(peerStatusFromWire(sent, res, ""))
+		return s.holderLocator.holder == ""
 	}
-	summary := summaryOf(res)
+	summary := summaryFromWire(res)
 	if res.GetServers() != nil {
 		summary.Loads = loads
 	}
-	s.directory.answered(now, addr, summary.Ordering, word.StoreDown)
+	s.holderLocator.onHolderAnswer(now, addr, summary.Ordering, report.StoreDown)
 	if len(summary.Candidates) > 0 {
 		s.candidates = summary.Candidates
 		i.log.WithFields(logrus.Fields{"candidates": len(s.candidates), "chosen": summary.Chosen}).Info("lease candidates told")
-		s.directory.learn(s.candidates)
+		s.holderLocator.update(s.candidates)
 	}
 	i.lease.Heard(summary.Chosen)
-	i.learn(sent, summary)
-	i.heard(toldOf(sent, res, addr))
+	i.update(sent, summary)
+	i.setPeerStatus(peerStatusFromWire(sent, res, addr))
 	return true
 }
 
-// failed notes that an instance didn't answer a word.
-func (s *syncer) failed(addr string, err error) {
-	var refused twirp.Error
-	named := s.directory.named
-	lost := s.directory.failed(addr, errors.As(err, &refused) && refused.Code() == twirp.FailedPrecondition, s.instance.lease.Stands())
-	if lost || addr == s.directory.holder {
-		s.instance.servers.unfed()
-	}
-	if lost && named && s.directory.vacant(time.Now()) {
+// peerFailed handles a Sync call that an instance refused or didn't answer.
+func (s *syncer) onPeerFailure(addr string, err error) {
+	var twirpErr twirp.Error
+	namedByStore := s.holderLocator.namedByStore
+	lost := s.holderLocator.onPeerFailure(addr, errors.As(err, &twirpErr) && twirpErr.Code() == twirp.FailedPrecondition, s.instance.lease.Stands())
+	if lost || addr == s.holderLocator.holder {
+		s.instance.servers.invalidateHolderList()
+	}
+	if lost && namedByStore && s.holderLocator.shouldCompete(time.Now()) {
 		s.instance.lease.Vacant()
 	}
 	if lost {
 		s.instance.log.WithFields(logrus.Fields{
-			"holder": addr, "last_answer_ms": ageMs(s.directory.heardAt), "error": err,
+			"holder": addr, "last_answer_ms": ageMs(s.holderLocator.holderAnsweredAt), "error": err,
 		}).Warn("lease holder lost")
 	}
 }
 
-// askStore asks the store who holds the lease, while it answers. Where nobody
-// does, this instance stands for it.
-func (s *syncer) askStore(ctx context.Context) {
+// queryStore queries the store for the lease holder, unless the store is down. If there
+// is none, this instance competes for the lease.
+func (s *syncer) queryStore(ctx context.Context) {
 	if s.instance.storeIsDown() {
 		return
 	}
@@ -223,58 +230,58 @@
 	defer cancel()
 	began := time.Now()
 	member, err := s.instance.lease.Owner(ctx)
-	s.instance.metrics.storeCall("owner", began)
+	s.instance.metrics.observeStoreCall("owner", began)
 	if err != nil {
 		s.instance.log.WithField("error", err).Warn("lease holder not known")
 		return
 	}
-	s.directory.found(time.Now(), memberAddr(member))
-	if s.directory.vacant(time.Now()) {
+	s.holderLocator.setStoreHolder(time.Now(), memberAddr(member))
+	if s.holderLocator.shouldCompete(time.Now()) {
 		s.instance.lease.Vacant()
 	}
-	if s.directory.holder == "" {
+	if s.holderLocator.holder == "" {
 		return
 	}
-	s.instance.log.WithField("holder", s.directory.holder).Info("lease holder found")
+	s.instance.log.WithField("holder", s.holderLocator.holder).Info("lease holder found")
 }
 
-// told is what the lease holder, or a candidate, last told this instance.
-type told struct {
-	at        time.Time
-	version   int64  // the newest of the configuration that it knows of
-	storeDown bool   // it doesn't reach the platform's store
-	holder    string // the holder's address; empty: it isn't the one that told
-	// confirmedAt is when the store confirmed to that instance that no version newer
-	// than version existed; zero: not reported.
+// peerStatus is what the lease holder or a candidate reported in its last Sync response.
+type peerStatus struct {
+	receivedAt time.Time
+	version    int64  // the newest version that the peer knows of
+	storeDown  bool   // the peer doesn't reach the platform's store
+	holder     string // the holder's address; empty: the peer isn't the holder
+	// confirmedAt is when the store confirmed to the peer that no version newer than
+	// version existed; zero: not reported.
 	confirmedAt time.Time
 }
 
-// toldOf returns what the answer to a word sent at the given time reports. holder is
-// the address of the instance that answered if it holds the lease, empty otherwise.
-// The confirmation's age is subtracted from the time of sending, so that the time
-// in transit never makes it appear more recent.
-func toldOf(sent time.Time, res *exchange.SyncResponse, holder string) told {
-	t := told{at: time.Now(), version: res.GetConfigVersion(), storeDown: res.GetStoreDown(), holder: holder}
+// peerStatusFromWire returns the status reported in the response to a request sent at the
+// given time. holder is the address of the responding instance if it holds the lease,
+// empty otherwise. The confirmation's age is subtracted from the time of sending, so that
+// the time in transit never makes it appear more recent.
+func peerStatusFromWire(sent time.Time, res *exchange.SyncResponse, holder string) peerStatus {
+	t := peerStatus{receivedAt: time.Now(), version: res.GetConfigVersion(), storeDown: res.GetStoreDown(), holder: holder}
 	if res.ConfigAgeMs != nil {
 		t.confirmedAt = sent.Add(-time.Duration(res.GetConfigAgeMs()) * time.Millisecond)
 	}
 	return t
 }
 
-// heard takes in what another instance told.
-func (i *Instance) heard(t told) {
+// setPeerStatus records what another instance reported.
+func (i *Instance) setPeerStatus(t peerStatus) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.told = t
+	i.peerStatus = t
 	if i.view.Config != nil && i.view.Config.Version >= t.version && t.confirmedAt.After(i.configConfirmedAt) {
 		i.configConfirmedAt = t.confirmedAt
 	}
 }
 
-// confirmedConfig returns the version of the configuration in force and how long ago
-// the store last confirmed that it was the newest, in milliseconds; 0 and nil before
-// the first confirmation. Both are read under one lock, so that the confirmation of a
-// newer version is never reported with an older one.
+// confirmedConfig returns the version of the configuration in force and how long ago the
+// store last confirmed that it was the newest, in milliseconds; 0 and nil before the
+// first confirmation. Both are read under one lock, so that the confirmation of a newer
+// version is never reported with an older one.
 func (i *Instance) confirmedConfig() (version int64, configAgeMs *uint32) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -285,19 +292,19 @@
 	return i.view.Config.Version, &age
 }
 
-// exchangeServer answers other instances' words. It implements exchange.Exchange.
+// exchangeServer answers other instances' Sync calls. It implements exchange.Exchange.
 type exchangeServer struct{ instance *Instance }
 
 // Sync implements exchange.Exchange.
 func (e exchangeServer) Sync(_ context.Context, req *exchange.SyncRequest) (*exchange.SyncResponse, error) {
-	w := wordOf(req)
+	report := reportFromWire(req)
 	e.instance.observeEra(req.GetStoreEra(), "instance")
-	e.instance.lease.ObserveToken(tokenOfWire(req.GetToken()))
-	e.instance.addLeavingServers(w.Leaving)
-	summary, err := e.instance.controller.Said(time.Now(), w)
+	e.instance.lease.ObserveToken(tokenFromWire(req.GetToken()))
+	e.instance.addLeavingServers(report.Leaving)
+	summary, err := e.instance.controller.Said(time.Now(), report)
 	var notHolder *residency.NotHolderError
 	if errors.As(err, &notHolder) && e.instance.lease.Stands() {
-		return e.instance.refer(time.Now(), req), nil
+		return e.instance.candidateResponse(time.Now(), req), nil
 	}
 	if errors.As(err, &notHolder) {
 		return nil, twirp.NewError(twirp.FailedPrecondition, notHolder.Error())
@@ -310,13 +317,13 @@
 		Ordering: summary.Ordering, Chosen: summary.Chosen, StoreDown: e.instance.storeIsDown(),
 		ConfigVersion: max(summary.Version, version), ConfigAgeMs: age,
 	}
-	if summary.Candidates.Digest() != w.Candidates {
+	if summary.Candidates.Digest() != report.Candidates {
 		res.Candidates = wireCandidates(summary.Candidates)
 	}
 	for domain, n := range summary.Instances {
 		res.Instances = append(res.Instances, &exchange.DomainInstances{FailureDomain: domain, Count: uint32(n)})
 	}
-	res.Servers = e.instance.servers.steps(time.Now(), req.GetServersDigest(), summary.Loads)
+	res.Servers = e.instance.servers.stepsSince(time.Now(), req.GetServersDigest(), summary.Loads)
 	if res.Servers == nil {
 		res.Loads = wireLoads(summary.Loads)
 	}
@@ -327,47 +334,48 @@
 	return res, nil
 }
 
-// refer answers a word as a candidate that doesn't hold the lease: it reads the
-// store for the instances of its failure domain while no holder does.
-func (i *Instance) refer(now time.Time, req *exchange.SyncRequest) *exchange.SyncResponse {
+// candidateResponse is the response of a candidate that doesn't hold the lease.
+// Candidates read the store for the instances of their failure domain while there is no
+// holder.
+func (i *Instance) candidateResponse(now time.Time, req *exchange.SyncRequest) *exchange.SyncResponse {
 	i.mu.Lock()
 	holder := ""
-	if now.Sub(i.told.at) <= ownerEvery {
-		holder = i.told.holder
+	if now.Sub(i.peerStatus.receivedAt) <= minHolderQueryInterval {
+		holder = i.peerStatus.holder
 	}
 	i.mu.Unlock()
 	version, age := i.confirmedConfig()
 	return &exchange.SyncResponse{
 		NotHolder: true, Holder: holder, ConfigVersion: version, StoreDown: i.storeIsDown(), ConfigAgeMs: age,
-		Servers: i.servers.steps(now, req.GetServersDigest(), nil),
+		Servers: i.servers.stepsSince(now, req.GetServersDigest(), nil),
 		Leaving: wireStarts(i.leavingServers()), StoreEra: i.storeEra(), Token: wireToken(i.lease.Token()),
 	}
 }
 
-// servePeers is the duty that answers other instances.
+// servePeers is the duty that serves other instances.
 func (i *Instance) servePeers(ctx context.Context) error {
 	l, err := net.Listen("tcp4", i.opts.Node.PeerAddr)
 	if err != nil {
 		return errors.Wrap(err, "listening for instances")
 	}
-	return i.front.serveOn(ctx, l, exchange.NewExchangeServer(exchangeServer{i}))
+	return i.frontend.serveOn(ctx, l, exchange.NewExchangeServer(exchangeServer{i}))
 }
 
-// learn takes in what the lease holder knows of all instances, told in answer to a
-// word that was sent at a time.
-func (i *Instance) learn(sent time.Time, s residency.Summary) {
+// update applies the lease holder's summary of all instances, received in response
+// to a report that was sent at the given time.
+func (i *Instance) update(sent time.Time, s residency.Summary) {
 	if version := i.configVersion(); version != 0 && s.Version > version {
 		i.log.WithFields(logrus.Fields{"version": version, "newest": s.Version, "read_ms": i.configReadAge()}).Warn("configuration behind other instances")
-		i.restartConfigRead(behindAge)
+		i.restartConfigRead(minCancelableReadAge)
 	}
 	i.mu.Lock()
 	if s.Ordering {
-		i.orderedAt = time.Now()
+		i.orderingAt = time.Now()
 	}
 	if len(s.Instances) > 0 && !(i.view.Counted && maps.Equal(i.view.Nodes, s.Instances)) {
 		i.view.Nodes, i.view.Counted = s.Instances, true
 		i.log.WithField("instances", s.Instances).Info("instances counted")
-		i.rebuild()
+		i.signalViewChanged()
 	}
 	held := s.Held
 	if s.Since {
@@ -375,27 +383,27 @@
 	}
 	if !held.Equal(i.view.Held) {
 		i.view.Held = held
-		i.rebuild()
+		i.signalViewChanged()
 	}
 	servers := i.view.Servers
 	i.mu.Unlock()
 	i.relay.RatesTold(sent, s.Rates)
 	if s.Loads == nil {
-		return // told for another list of servers: the next word brings them
+		return // the loads refer to another list of servers; the next sync brings matching ones
 	}
-	age := i.syncEvery() / 2 // the others' words are that old
+	age := i.syncInterval() / 2 // average age of the other instances' reports
 	for n := range servers {
 		i.relay.Reported(servers[n].ID, s.Loads[servers[n].ID], age)
 	}
 }
 
-// noteExpected works out whether requests should wait for a model that no server
-// holds. The lock is held.
-func (i *Instance) noteExpected() {
-	expected := i.orderedAt.IsZero() || time.Since(i.orderedAt) < expectedFor
+// updateExpected recomputes whether requests should wait for a model that no server
+// holds. The caller must hold mu.
+func (i *Instance) updateExpected() {
+	expected := i.orderingAt.IsZero() || time.Since(i.orderingAt) < onDemandLoadTimeout
 	if expected != i.view.Expected {
 		i.view.Expected = expected
 		i.log.WithField("expected", expected).Info("models that no server holds are loaded on demand")
-		i.rebuild()
+		i.signalViewChanged()
 	}
 }
--- a/instance/wire.go
+++ b/instance/wire.go
@@ -9,18 +9,20 @@
 	"greengageferry/topology"
 )
 
-func syncRequest(w residency.Word) *exchange.SyncRequest {
-	req := &exchange.SyncRequest{Instance: w.Instance, FailureDomain: w.Domain, StoreDown: w.StoreDown, ConfigVersion: w.Version, HeldDigest: w.HeldDigest,
-		Addr: w.Addr, Cores: float32(w.Cores), CandidatesDigest: w.Candidates, Stands: w.Stands}
-	for target, a := range w.Asked {
+// newSyncRequest encodes a report for the lease holder. Here and below, the functions named
+// wire* encode protobuf messages, and those named *FromWire decode them.
+func newSyncRequest(report residency.Word) *exchange.SyncRequest {
+	req := &exchange.SyncRequest{Instance: report.Instance, FailureDomain: report.Domain, StoreDown: report.StoreDown, ConfigVersion: report.Version, HeldDigest: report.HeldDigest,
+		Addr: report.Addr, Cores: float32(report.Cores), CandidatesDigest: report.Candidates, Stands: report.Stands}
+	for target, a := range report.Asked {
 		req.Demand = append(req.Demand, &exchange.Demand{
 			Target: target, Requests: uint32(a.Requests), Waiting: uint32(a.Waiting), InFlight: uint32(a.InFlight),
 			WorkMs: uint32(a.Work.Milliseconds()),
 		})
 	}
-	req.Loads = wireLoads(w.Loads)
-	req.Leaving = wireStarts(w.Leaving)
-	for _, r := range w.Rates {
+	req.Loads = wireLoads(report.Loads)
+	req.Leaving = wireStarts(report.Leaving)
+	for _, r := range report.Rates {
 		req.Rates = append(req.Rates, &exchange.RateSaid{
 			Server: r.Server, Start: r.Start, Named: r.Limit.Named, PerSecond: r.Limit.PerSecond,
 			AgeMs: uint32(r.Age.Milliseconds()), Heard: r.Heard, Waiting: uint32(r.Waiting), Expects: float32(r.Expects), Lapsed: uint32(r.Lapsed),
@@ -29,27 +31,27 @@
 	return req
 }
 
-func wordOf(req *exchange.SyncRequest) residency.Word {
-	w := residency.Word{
+func reportFromWire(req *exchange.SyncRequest) residency.Word {
+	report := residency.Word{
 		Instance: req.GetInstance(), Domain: req.GetFailureDomain(), Addr: req.GetAddr(), Cores: float64(req.GetCores()),
 		StoreDown: req.GetStoreDown(), Version: req.GetConfigVersion(),
 		HeldDigest: req.GetHeldDigest(), Candidates: req.GetCandidatesDigest(), Stands: req.GetStands(),
 		Asked: make(map[string]residency.Asked, len(req.GetDemand())),
-		Loads: loadsOfWire(req.GetLoads()), Leaving: startsOfWire(req.GetLeaving()),
+		Loads: loadsFromWire(req.GetLoads()), Leaving: startsFromWire(req.GetLeaving()),
 	}
 	for _, d := range req.GetDemand() {
-		w.Asked[d.GetTarget()] = residency.Asked{
+		report.Asked[d.GetTarget()] = residency.Asked{
 			Requests: int(d.GetRequests()), Waiting: int(d.GetWaiting()), InFlight: int(d.GetInFlight()),
 			Work: time.Duration(d.GetWorkMs()) * time.Millisecond,
 		}
 	}
 	for _, r := range req.GetRates() {
-		w.Rates = append(w.Rates, decide.RateSaid{
+		report.Rates = append(report.Rates, decide.RateSaid{
 			Server: r.GetServer(), Start: r.GetStart(), Limit: decide.RateLimit{Named: r.GetNamed(), PerSecond: r.GetPerSecond()},
 			Age: time.Duration(r.GetAgeMs()) * time.Millisecond, Heard: r.GetHeard(), Waiting: int(r.GetWaiting()), Expects: float64(r.GetExpects()), Lapsed: int(r.GetLapsed()),
 		})
 	}
-	return w
+	return report
 }
 
 func wireRates(shares []decide.RateShare) []*exchange.RateShare {
@@ -63,7 +65,7 @@
 	return out
 }
 
-func ratesOfWire(rates []*exchange.RateShare) []decide.RateShare {
+func ratesFromWire(rates []*exchange.RateShare) []decide.RateShare {
 	var out []decide.RateShare
 	for _, r := range rates {
 		out = append(out, decide.RateShare{
@@ -74,21 +76,21 @@
 	return out
 }
 
-func summaryOf(res *exchange.SyncResponse) residency.Summary {
+func summaryFromWire(res *exchange.SyncResponse) residency.Summary {
 	s := residency.Summary{Instances: map[string]int{}, Ordering: res.GetOrdering(), Version: res.GetConfigVersion()}
 	for _, d := range res.GetInstances() {
 		s.Instances[d.GetFailureDomain()] = int(d.GetCount())
 	}
-	s.Loads = loadsOfWire(res.GetLoads())
-	s.Chosen, s.Candidates = res.GetChosen(), candidatesOfWire(res.GetCandidates())
+	s.Loads = loadsFromWire(res.GetLoads())
+	s.Chosen, s.Candidates = res.GetChosen(), candidatesFromWire(res.GetCandidates())
 	s.Rates = decide.RateShares{
-		Shares: ratesOfWire(res.GetRates()), Position: int(res.GetPlace()), Instances: decide.CountInstances(s.Instances),
+		Shares: ratesFromWire(res.GetRates()), Position: int(res.GetPlace()), Instances: decide.CountInstances(s.Instances),
 	}
-	s.Held, s.Lost, s.Since = heldOfWire(res.GetHeld()), heldOfWire(res.GetHeldLost()), res.GetHeldSince()
+	s.Held, s.Lost, s.Since = heldFromWire(res.GetHeld()), heldFromWire(res.GetHeldLost()), res.GetHeldSince()
 	return s
 }
 
-func loadsOfWire(loads []*exchange.ServerLoad) map[string]residency.Load {
+func loadsFromWire(loads []*exchange.ServerLoad) map[string]residency.Load {
 	out := make(map[string]residency.Load, len(loads))
 	for _, l := range loads {
 		out[l.GetServer()] = residency.Load{InFlight: int(l.GetInFlight()), Unread: int(l.GetUnreadTokens()), Contending: int(l.GetContending())}
@@ -108,7 +110,7 @@
 	return &exchange.Token{Number: t.Number, Holder: t.Holder}
 }
 
-func tokenOfWire(t *exchange.Token) residency.Token {
+func tokenFromWire(t *exchange.Token) residency.Token {
 	return residency.Token{Number: t.GetNumber(), Holder: t.GetHolder()}
 }
 
@@ -120,7 +122,7 @@
 	return out
 }
 
-func startsOfWire(starts []*exchange.ServerStart) []topology.ServerStart {
+func startsFromWire(starts []*exchange.ServerStart) []topology.ServerStart {
 	var out []topology.ServerStart
 	for _, s := range starts {
 		out = append(out, topology.ServerStart{ID: s.GetId(), Start: s.GetStart()})
@@ -128,7 +130,7 @@
 	return out
 }
 
-func heldOfWire(held []*exchange.Held) topology.HeldList {
+func heldFromWire(held []*exchange.Held) topology.HeldList {
 	var out []topology.Held
 	for _, h := range held {
 		out = append(out, topology.Held{Server: h.GetServer(), Model: h.GetModel(), Adapter: h.GetAdapter(), Dropped: h.GetDropped()})
@@ -144,7 +146,7 @@
 	return out
 }
 
-func candidatesOfWire(candidates []*exchange.Candidate) residency.Candidates {
+func candidatesFromWire(candidates []*exchange.Candidate) residency.Candidates {
 	var out residency.Candidates
 	for _, c := range candidates {
 		out = append(out, residency.Member{Domain: c.GetFailureDomain(), Addr: c.GetAddr()})
