--- a/instance/directory.go
+++ b/instance/directory.go
@@ -56,8 +56,9 @@
 }
 
 // holderLocator decides which instance to sync with: the lease holder if known, else a
-// candidate that may know the holder. If neither helps, the holder is looked up in the
-// store. It does no I/O and is not safe for concurrent use.
+// candidate that may know the holder, else none. It also decides when to query the store
+// for the holder and when to compete for the lease. It does no I/O and is not safe for
+// concurrent use.
 type holderLocator struct {
 	domain      string
 	queryFrom   time.Time // the store isn't queried earlier
@@ -75,81 +76,80 @@
 }
 
 // update replaces the candidates.
-func (d *holderLocator) update(candidates residency.Candidates) {
-	d.candidates = d.candidates[:0]
+func (l *holderLocator) update(candidates residency.Candidates) {
+	l.candidates = l.candidates[:0]
 	for _, sameDomain := range []bool{true, false} {
 		for _, c := range candidates {
-			if (c.Domain == d.domain) == sameDomain {
-				d.candidates = append(d.candidates, c.Addr)
+			if (c.Domain == l.domain) == sameDomain {
+				l.candidates = append(l.candidates, c.Addr)
 			}
 		}
 	}
-	d.nextCandidate = 0
+	l.nextCandidate = 0
 }
 
 // nextPeer returns the address of the instance to sync with, empty if none is known. An
 // instance that competes for the lease queries the store and asks no candidates.
-func (d *holderLocator) nextPeer(competes bool) string {
-	if d.holder != "" || competes || len(d.candidates) == 0 {
-		return d.holder
+func (l *holderLocator) nextPeer(competes bool) string {
+	if l.holder != "" || competes || len(l.candidates) == 0 {
+		return l.holder
 	}
-	addr := d.candidates[d.nextCandidate%len(d.candidates)]
-	d.nextCandidate++
+	addr := l.candidates[l.nextCandidate%len(l.candidates)]
+	l.nextCandidate++
 	return addr
 }
 
 // shouldQueryStore reports whether to query the store for the lease holder now, and if so
 // records the query.
-func (d *holderLocator) shouldQueryStore(now time.Time, competes bool, instances int) bool {
-	if d.holder != "" || now.Before(d.queryFrom) {
+func (l *holderLocator) shouldQueryStore(now time.Time, competes bool, instances int) bool {
+	if l.holder != "" || now.Before(l.queryFrom) {
 		return false
 	}
 	interval := minHolderQueryInterval
-	if !competes && len(d.candidates) > 0 {
-		if now.Sub(d.lastAnswerAt) < candidateSilenceTimeout {
+	if !competes && len(l.candidates) > 0 {
+		if now.Sub(l.lastAnswerAt) < candidateSilenceTimeout {
 			return false
 		}
 		interval = max(interval, time.Duration(instances)*holderQueryIntervalPerInstance)
 	}
-	if now.Sub(d.storeQueriedAt) < interval {
+	if now.Sub(l.storeQueriedAt) < interval {
 		return false
 	}
-	d.storeQueriedAt = now
+	l.storeQueriedAt = now
 	return true
 }
 
 // onHolderAnswer records an answer of the lease holder.
-func (d *holderLocator) onHolderAnswer(now time.Time, addr string, ordering, storeDown bool) {
-	d.holder, d.unanswered, d.namedByStore = addr, 0, false
-	d.holderAnsweredAt, d.lastAnswerAt = now, now
+func (l *holderLocator) onHolderAnswer(now time.Time, addr string, ordering, storeDown bool) {
+	l.holder, l.unanswered, l.namedByStore = addr, 0, false
+	l.holderAnsweredAt, l.lastAnswerAt = now, now
 	switch {
 	case ordering:
-		d.orderingAt = now
-	case !storeDown && now.Sub(d.orderingAt) > holderIdleTimeout:
-		d.holder = "" // it may have been cut off, and another instance may have won the lease
+		l.orderingAt = now
+	case !storeDown && now.Sub(l.orderingAt) > holderIdleTimeout:
+		l.holder = "" // it may have been cut off, and another instance may have won the lease
 	}
 }
 
 // setStoreHolder records the holder that the store names; empty: there is none.
-func (d *holderLocator) setStoreHolder(now time.Time, holder string) {
-	d.holder, d.orderingAt, d.namedByStore = holder, now, holder != ""
+func (l *holderLocator) setStoreHolder(now time.Time, holder string) {
+	l.holder, l.orderingAt, l.namedByStore = holder, now, holder != ""
 }
 
 // shouldCompete reports whether this instance should compete for the lease, after the
 // store named no holder or one that no longer holds the lease. After all instances were
-// killed, the store names the previous holder for seconds.
-// Instances that waited for the end of that joined one after the other, and each join
-// reassigned the lease.
-func (d *holderLocator) shouldCompete(now time.Time) bool {
-	return d.holder == "" && !now.Before(d.competeFrom)
+// killed, the store names the previous holder for seconds. Instances that waited for the
+// end of that joined one after the other, and each join reassigned the lease.
+func (l *holderLocator) shouldCompete(now time.Time) bool {
+	return l.holder == "" && !now.Before(l.competeFrom)
 }
 
 // onReferral records the answer of an instance that doesn't hold the lease. holder is the
 // holder's address as far as that instance knows, else empty.
-func (d *holderLocator) onReferral(now time.Time, holder string) {
-	d.lastAnswerAt = now
-	if holder != d.holder {
-		d.holder, d.orderingAt, d.unanswered = holder, now, 0
+func (l *holderLocator) onReferral(now time.Time, holder string) {
+	l.lastAnswerAt = now
+	if holder != l.holder {
+		l.holder, l.orderingAt, l.unanswered = holder, now, 0
 	}
 }
 
@@ -157,15 +157,15 @@
 // answer. It returns whether that instance was the holder and is now given up. The holder
 // is given up at once if it refused or if candidates can be asked for another holder, and
 // otherwise, since then the store has to be queried, after maxUnanswered failures.
-func (d *holderLocator) onPeerFailure(addr string, refused, competes bool) (lost bool) {
-	if addr != d.holder {
+func (l *holderLocator) onPeerFailure(addr string, refused, competes bool) (lost bool) {
+	if addr != l.holder {
 		return false
 	}
-	d.unanswered++
-	askCandidates := !competes && len(d.candidates) > 0
-	if d.unanswered < maxUnanswered && !refused && !askCandidates {
+	l.unanswered++
+	askCandidates := !competes && len(l.candidates) > 0
+	if l.unanswered < maxUnanswered && !refused && !askCandidates {
 		return false
 	}
-	d.holder, d.unanswered = "", 0
+	l.holder, l.unanswered = "", 0
 	return true
 }
--- a/instance/directory_test.go
+++ b/instance/directory_test.go
@@ -16,11 +16,11 @@
 
 // locatorWithCandidates returns a locator that knows a holder, and candidates from it.
 func locatorWithCandidates(holder string) *holderLocator {
-	d := &holderLocator{domain: "y"}
-	d.setStoreHolder(testStart, holder)
-	d.onHolderAnswer(testStart, holder, true, false)
-	d.update(threeCandidates)
-	return d
+	l := &holderLocator{domain: "y"}
+	l.setStoreHolder(testStart, holder)
+	l.onHolderAnswer(testStart, holder, true, false)
+	l.update(threeCandidates)
+	return l
 }
 
 func TestInstancesWithMoreCoresCompeteForTheLeaseSooner(t *testing.T) {
@@ -35,77 +35,77 @@
 }
 
 func TestStoreIsQueriedOncePerSecondUntilAHolderIsKnown(t *testing.T) {
-	d := &holderLocator{queryFrom: testStart}
-	require.False(t, d.shouldQueryStore(testStart.Add(-1), false, 9))
-	require.True(t, d.shouldQueryStore(testStart, false, 9))
-	require.False(t, d.shouldQueryStore(testStart.Add(minHolderQueryInterval-1), false, 9))
-	require.True(t, d.shouldQueryStore(testStart.Add(minHolderQueryInterval), false, 9))
-	d.setStoreHolder(testStart, "h")
-	require.False(t, d.shouldQueryStore(testStart.Add(time.Minute), false, 9))
-	require.Equal(t, "h", d.nextPeer(false))
+	l := &holderLocator{queryFrom: testStart}
+	require.False(t, l.shouldQueryStore(testStart.Add(-1), false, 9))
+	require.True(t, l.shouldQueryStore(testStart, false, 9))
+	require.False(t, l.shouldQueryStore(testStart.Add(minHolderQueryInterval-1), false, 9))
+	require.True(t, l.shouldQueryStore(testStart.Add(minHolderQueryInterval), false, 9))
+	l.setStoreHolder(testStart, "h")
+	require.False(t, l.shouldQueryStore(testStart.Add(time.Minute), false, 9))
+	require.Equal(t, "h", l.nextPeer(false))
 }
 
 // After the holder is lost, the candidates query the store, and the other instances ask
 // the candidates, those of their own failure domain first.
 func TestCandidatesAreAskedForTheHolderAfterItIsLost(t *testing.T) {
-	d := locatorWithCandidates("h")
-	require.True(t, d.onPeerFailure("h", false, false), "a candidate can be asked at once")
+	l := locatorWithCandidates("h")
+	require.True(t, l.onPeerFailure("h", false, false), "a candidate can be asked at once")
 	now := testStart.Add(time.Second)
-	require.False(t, d.shouldQueryStore(now, false, 295))
-	require.Equal(t, []string{"y1", "y2", "x1", "y1"}, []string{d.nextPeer(false), d.nextPeer(false), d.nextPeer(false), d.nextPeer(false)})
-	require.Empty(t, d.nextPeer(true), "a candidate asks no other")
-	require.True(t, d.shouldQueryStore(now, true, 295))
-	require.False(t, d.onPeerFailure("y1", false, false), "it wasn't the holder")
-	d.onReferral(now, "")
-	require.Empty(t, d.holder)
-	d.onReferral(now, "h2")
-	require.Equal(t, "h2", d.nextPeer(false))
+	require.False(t, l.shouldQueryStore(now, false, 295))
+	require.Equal(t, []string{"y1", "y2", "x1", "y1"}, []string{l.nextPeer(false), l.nextPeer(false), l.nextPeer(false), l.nextPeer(false)})
+	require.Empty(t, l.nextPeer(true), "a candidate asks no other")
+	require.True(t, l.shouldQueryStore(now, true, 295))
+	require.False(t, l.onPeerFailure("y1", false, false), "it wasn't the holder")
+	l.onReferral(now, "")
+	require.Empty(t, l.holder)
+	l.onReferral(now, "h2")
+	require.Equal(t, "h2", l.nextPeer(false))
 }
 
 // If all candidates are lost too, each instance queries the store itself, at an interval
 // that grows with the number of instances.
 func TestStoreIsQueriedWhenCandidatesAreSilent(t *testing.T) {
-	d := locatorWithCandidates("h")
-	d.onPeerFailure("h", false, false)
-	require.False(t, d.shouldQueryStore(testStart.Add(candidateSilenceTimeout-1), false, 295))
+	l := locatorWithCandidates("h")
+	l.onPeerFailure("h", false, false)
+	require.False(t, l.shouldQueryStore(testStart.Add(candidateSilenceTimeout-1), false, 295))
 	now := testStart.Add(candidateSilenceTimeout)
-	require.True(t, d.shouldQueryStore(now, false, 295))
-	require.False(t, d.shouldQueryStore(now.Add(295*holderQueryIntervalPerInstance-1), false, 295))
-	require.True(t, d.shouldQueryStore(now.Add(295*holderQueryIntervalPerInstance), false, 295))
+	require.True(t, l.shouldQueryStore(now, false, 295))
+	require.False(t, l.shouldQueryStore(now.Add(295*holderQueryIntervalPerInstance-1), false, 295))
+	require.True(t, l.shouldQueryStore(now.Add(295*holderQueryIntervalPerInstance), false, 295))
 }
 
 func TestHolderThatMayNotOrderIsDroppedAfterIdleTimeout(t *testing.T) {
-	d := &holderLocator{}
-	d.setStoreHolder(testStart, "h")
-	d.onHolderAnswer(testStart.Add(holderIdleTimeout), "h", false, false)
-	require.Equal(t, "h", d.holder, "it may just have won")
-	d.onHolderAnswer(testStart.Add(2*holderIdleTimeout), "h", false, true)
-	require.Equal(t, "h", d.holder, "while the store is away there is no other")
-	d.onHolderAnswer(testStart.Add(2*holderIdleTimeout), "h", false, false)
-	require.Empty(t, d.holder)
+	l := &holderLocator{}
+	l.setStoreHolder(testStart, "h")
+	l.onHolderAnswer(testStart.Add(holderIdleTimeout), "h", false, false)
+	require.Equal(t, "h", l.holder, "it may just have won")
+	l.onHolderAnswer(testStart.Add(2*holderIdleTimeout), "h", false, true)
+	require.Equal(t, "h", l.holder, "while the store is away there is no other")
+	l.onHolderAnswer(testStart.Add(2*holderIdleTimeout), "h", false, false)
+	require.Empty(t, l.holder)
 }
 
 func TestBusyHolderIsRetriedWithoutCandidates(t *testing.T) {
-	d := &holderLocator{}
-	d.setStoreHolder(testStart, "h")
-	require.False(t, d.onPeerFailure("h", false, false))
-	require.True(t, d.onPeerFailure("h", false, false))
-	d = locatorWithCandidates("h")
-	require.False(t, d.onPeerFailure("h", false, true), "a candidate can only ask the store")
-	require.True(t, d.onPeerFailure("h", true, true), "it refused because it isn't the holder")
+	l := &holderLocator{}
+	l.setStoreHolder(testStart, "h")
+	require.False(t, l.onPeerFailure("h", false, false))
+	require.True(t, l.onPeerFailure("h", false, false))
+	l = locatorWithCandidates("h")
+	require.False(t, l.onPeerFailure("h", false, true), "a candidate can only ask the store")
+	require.True(t, l.onPeerFailure("h", true, true), "it refused because it isn't the holder")
 }
 
 // After all instances were killed, the store still names the previous holder for seconds.
 func TestInstanceCompetesWhenTheStoreNamesAStaleHolder(t *testing.T) {
-	d := &holderLocator{competeFrom: testStart}
-	require.True(t, d.shouldCompete(testStart))
-	d.setStoreHolder(testStart, "h")
-	require.False(t, d.shouldCompete(testStart))
-	require.True(t, d.namedByStore)
-	require.True(t, d.onPeerFailure("h", true, false))
-	require.True(t, d.shouldCompete(testStart))
-	require.False(t, d.shouldCompete(testStart.Add(-1)), "instances with more cores compete first")
-	d.setStoreHolder(testStart, "h")
-	d.onHolderAnswer(testStart, "h", true, false)
-	require.False(t, d.namedByStore, "it answered: if it is lost now, another candidate takes over")
+	l := &holderLocator{competeFrom: testStart}
+	require.True(t, l.shouldCompete(testStart))
+	l.setStoreHolder(testStart, "h")
+	require.False(t, l.shouldCompete(testStart))
+	require.True(t, l.namedByStore)
+	require.True(t, l.onPeerFailure("h", true, false))
+	require.True(t, l.shouldCompete(testStart))
+	require.False(t, l.shouldCompete(testStart.Add(-1)), "instances with more cores compete first")
+	l.setStoreHolder(testStart, "h")
+	l.onHolderAnswer(testStart, "h", true, false)
+	require.False(t, l.namedByStore, "it answered: if it is lost now, another candidate takes over")
 }
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -45,9 +45,9 @@
 	// that a burst of changes needs only a few reads.
 	minConfirmedConfigReadInterval = 600 * time.Millisecond
 	// minServersReadInterval is the minimum time between two reads of servers' entries.
-	// Each server writes about once per second, so a read that returned at the next
-	// change would be repeated dozens of times per second. A leaving server must be known
-	// within two seconds.
+	// Each server writes about once per second, so without a minimum the reads, which
+	// return at the next change, would return dozens of times per second. A leaving
+	// server must be known within two seconds.
 	minServersReadInterval = 400 * time.Millisecond
 	// minCancelableReadAge is the minimum age at which a read is canceled because other
 	// instances have a newer configuration. A read that is only slow, on a link that
--- a/instance/listener.go
+++ b/instance/listener.go
@@ -45,22 +45,22 @@
 }
 
 // Accept implements net.Listener.
-func (t *childListener) Accept() (net.Conn, error) {
+func (l *childListener) Accept() (net.Conn, error) {
 	select {
-	case <-t.closed:
+	case <-l.closed:
 		return nil, net.ErrClosed
-	case err := <-t.shared.acceptError:
+	case err := <-l.shared.acceptError:
 		return nil, err
-	case c := <-t.shared.accepted:
+	case c := <-l.shared.accepted:
 		return c, nil
 	}
 }
 
 // Close implements net.Listener.
-func (t *childListener) Close() error {
-	t.closeOnce.Do(func() { close(t.closed) })
+func (l *childListener) Close() error {
+	l.closeOnce.Do(func() { close(l.closed) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (t *childListener) Addr() net.Addr { return t.shared.Addr() }
+func (l *childListener) Addr() net.Addr { return l.shared.Addr() }
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -17,7 +17,8 @@
 const namespace = "greengageferry"
 
 // metrics holds the Prometheus metrics of an instance. It implements relay.Metrics. The
-// label values are bounded: outcomes, actions, reasons and calls are constants.
+// label values are bounded: outcomes, actions, reasons, results and kinds of
+// read are constants.
 type metrics struct {
 	registry *prometheus.Registry
 
--- a/instance/servers.go
+++ b/instance/servers.go
@@ -96,7 +96,8 @@
 	l.fleet.StoreBack(now)
 }
 
-// applyRead applies a read, and calls onChange if anything but heartbeats changed.
+// applyRead applies a read, and calls onChange after a snapshot or if anything but
+// heartbeats changed.
 func (l *serverList) applyRead(now time.Time, r serversRead, onChange func([]topology.Server)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +117,8 @@
 	}
 }
 
-// onStoreReturn records that the store answers again after an outage.
+// onStoreReturn records that the store answers again after an outage. now is the assumed
+// time of its return, see storeReturnLag.
 func (l *serverList) onStoreReturn(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -178,8 +180,8 @@
 	return loads
 }
 
-// applyDeltas applies the holder's steps, which were current at asOf. The caller must
-// hold mu.
+// applyDeltas applies the holder's steps, which were current at stepsAsOf. The caller
+// must hold mu.
 func (l *serverList) applyDeltas(steps *exchange.ServerSteps, stepsAsOf time.Time, onChange func([]topology.Server)) {
 	deltas := make([]topology.Delta, 0, len(steps.GetSteps()))
 	for _, s := range steps.GetSteps() {
--- a/instance/sync.go
+++ b/instance/sync.go
@@ -202,7 +202,7 @@
 	return true
 }
 
-// peerFailed handles a Sync call that an instance refused or didn't answer.
+// onPeerFailure handles a Sync call that an instance refused or didn't answer.
 func (s *syncer) onPeerFailure(addr string, err error) {
 	var twirpErr twirp.Error
 	namedByStore := s.holderLocator.namedByStore
@@ -261,20 +261,20 @@
 // empty otherwise. The confirmation's age is subtracted from the time of sending, so that
 // the time in transit never makes it appear more recent.
 func peerStatusFromWire(sent time.Time, res *exchange.SyncResponse, holder string) peerStatus {
-	t := peerStatus{receivedAt: time.Now(), version: res.GetConfigVersion(), storeDown: res.GetStoreDown(), holder: holder}
+	status := peerStatus{receivedAt: time.Now(), version: res.GetConfigVersion(), storeDown: res.GetStoreDown(), holder: holder}
 	if res.ConfigAgeMs != nil {
-		t.confirmedAt = sent.Add(-time.Duration(res.GetConfigAgeMs()) * time.Millisecond)
+		status.confirmedAt = sent.Add(-time.Duration(res.GetConfigAgeMs()) * time.Millisecond)
 	}
-	return t
+	return status
 }
 
 // setPeerStatus records what another instance reported.
-func (i *Instance) setPeerStatus(t peerStatus) {
+func (i *Instance) setPeerStatus(status peerStatus) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.peerStatus = t
-	if i.view.Config != nil && i.view.Config.Version >= t.version && t.confirmedAt.After(i.configConfirmedAt) {
-		i.configConfirmedAt = t.confirmedAt
+	i.peerStatus = status
+	if i.view.Config != nil && i.view.Config.Version >= status.version && status.confirmedAt.After(i.configConfirmedAt) {
+		i.configConfirmedAt = status.confirmedAt
 	}
 }
 
@@ -361,8 +361,8 @@
 	return i.frontend.serveOn(ctx, l, exchange.NewExchangeServer(exchangeServer{i}))
 }
 
-// update applies the lease holder's summary of all instances, received in response
-// to a report that was sent at the given time.
+// update applies the lease holder's summary of all instances, received in response to a
+// report that was sent at the given time.
 func (i *Instance) update(sent time.Time, s residency.Summary) {
 	if version := i.configVersion(); version != 0 && s.Version > version {
 		i.log.WithFields(logrus.Fields{"version": version, "newest": s.Version, "read_ms": i.configReadAge()}).Warn("configuration behind other instances")
