--- a/caller/services.go
+++ b/caller/services.go
@@ -109,7 +109,7 @@
 // passedOn returns the headers that go on to the other side.
 func passedOn(h http.Header) http.Header {
 	out := h.Clone()
-	hop.Drop(out)
+	hop.RemoveHeaders(out)
 	for _, name := range ownHeaders {
 		delete(out, name)
 	}
--- a/cmd/greengageferry/trace_test.go
+++ b/cmd/greengageferry/trace_test.go
@@ -57,12 +57,12 @@
 // noMetrics implements relay.Metrics.
 type noMetrics struct{}
 
-func (noMetrics) Ended(string, time.Duration) {}
-func (noMetrics) FirstByte(time.Duration)     {}
-func (noMetrics) Decided(string, string)      {}
-func (noMetrics) Waited(time.Duration)        {}
-func (noMetrics) SentLimited()                {}
-func (noMetrics) Gap(time.Duration)           {}
+func (noMetrics) ObserveRequest(string, time.Duration) {}
+func (noMetrics) ObserveFirstByte(time.Duration)       {}
+func (noMetrics) CountDecision(string, string)         {}
+func (noMetrics) ObserveQueueTime(time.Duration)       {}
+func (noMetrics) CountRateLimitedAttempt()             {}
+func (noMetrics) ObserveStreamGap(time.Duration)       {}
 
 func newFailing(t *testing.T, script http.HandlerFunc) *failing {
 	f := &failing{}
--- a/instance/follow.go
+++ b/instance/follow.go
@@ -412,8 +412,8 @@
 
 func (i *Instance) noteProblems(changes []topology.ServerChange) {
 	for _, c := range changes {
-		if c.Problem != nil {
-			i.log.WithFields(logrus.Fields{"server": c.ID, "error": c.Problem}).Warn("server entry not usable")
+		if c.Err != nil {
+			i.log.WithFields(logrus.Fields{"server": c.ID, "error": c.Err}).Warn("server entry not usable")
 		}
 	}
 }
--- a/instance/follow_test.go
+++ b/instance/follow_test.go
@@ -69,7 +69,7 @@
 // told is an instance among many that heard from a holder a moment ago.
 func toldInstance(now time.Time) *Instance {
 	i := &Instance{lease: residency.NewLease(nil, "a", time.Second, func() time.Duration { return 0 }, nil), servers: newServerList()}
-	i.view.Config, i.view.Nodes = &topology.Config{Version: 7}, map[string]int{"d": 295}
+	i.view.Config, i.view.InstancesByDomain = &topology.Config{Version: 7}, map[string]int{"d": 295}
 	i.told = told{at: now, version: 7, confirmedAt: now}
 	i.servers.fedUntil = now.Add(fedFor)
 	return i
@@ -107,6 +107,6 @@
 	i.lease.Heard(true)
 	require.False(t, i.configTold(now), "a candidate reads configurations for the others")
 	i = toldInstance(now)
-	i.view.Nodes = map[string]int{"d": manyInstances}
+	i.view.InstancesByDomain = map[string]int{"d": manyInstances}
 	require.False(t, i.configTold(now), "few instances each read for themselves")
 }
--- a/instance/front.go
+++ b/instance/front.go
@@ -160,7 +160,7 @@
 // drain takes the instance out of rotation, serves on until callers have moved
 // on, and lets what is in hand end within the grace period.
 func (f *front) drain() {
-	f.instance.log.WithField("in_hand", f.instance.relay.InHand()).Info("draining")
+	f.instance.log.WithField("in_hand", f.instance.relay.ActiveRequests()).Info("draining")
 	end := time.Now().Add(f.instance.node.Load().Grace - drainMargin)
 	f.draining.Store(true)
 	f.instance.relay.Drain()
@@ -180,5 +180,5 @@
 	if err := group.Wait(); err != nil {
 		f.instance.log.WithField("error", err).Warn("requests are broken off")
 	}
-	f.instance.log.WithField("in_hand", f.instance.relay.InHand()).Info("drained")
+	f.instance.log.WithField("in_hand", f.instance.relay.ActiveRequests()).Info("drained")
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -76,10 +76,10 @@
 	i.relay = relay.New(relay.Options{Headers: o.Headers, Log: o.Log, Metrics: m, Rand: o.Rand, OnLeaving: i.addLeavingServer})
 	i.front = newFront(i)
 	i.node.Store(o.Node)
-	i.view.Expected = true
-	i.view.Nodes = map[string]int{o.Node.Domain: assumedInstances}
+	i.view.LoadOnDemand = true
+	i.view.InstancesByDomain = map[string]int{o.Node.Domain: assumedInstances}
 	for _, domain := range o.Node.Domains {
-		i.view.Nodes[domain] = assumedInstances
+		i.view.InstancesByDomain[domain] = assumedInstances
 	}
 	i.lease = residency.NewLease(o.Group, memberName(o.Node, time.Now()), o.Node.LeaseTTL, o.Clock, o.Log)
 	// Else a read that the store left unanswered, as it answered others, hides a
@@ -282,7 +282,7 @@
 func (i *Instance) retryPolicy(v *topology.View) decide.RetryPolicy {
 	n := i.node.Load()
 	instances := v.Instances()
-	if !v.Counted {
+	if !v.InstancesKnown {
 		instances = decide.MostInstances
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
--- a/instance/late_config_test.go
+++ b/instance/late_config_test.go
@@ -117,7 +117,7 @@
 	source := &lossySource{lostFrom: start.Add(c.lostAfter), lostTo: start.Add(c.lostAfter + c.lostFor)}
 	source.changedAt = source.lostTo.Add(c.changedAfter)
 	i := newTestInstance(source)
-	i.view.Nodes = map[string]int{"d": c.instances}
+	i.view.InstancesByDomain = map[string]int{"d": c.instances}
 	i.lease.Heard(c.candidate)
 	ctx, cancel := context.WithCancel(t.Context())
 	var duties sync.WaitGroup
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -73,25 +73,27 @@
 }
 
 // Ended implements relay.Metrics.
-func (m *metrics) Ended(outcome string, took time.Duration) {
+func (m *metrics) ObserveRequest(outcome string, took time.Duration) {
 	m.requests.WithLabelValues(outcome).Inc()
 	m.took.Observe(took.Seconds())
 }
 
 // FirstByte implements relay.Metrics.
-func (m *metrics) FirstByte(took time.Duration) { m.firstByte.Observe(took.Seconds()) }
+func (m *metrics) ObserveFirstByte(took time.Duration) { m.firstByte.Observe(took.Seconds()) }
 
 // Waited implements relay.Metrics.
-func (m *metrics) Waited(took time.Duration) { m.wait.Observe(took.Seconds()) }
+func (m *metrics) ObserveQueueTime(took time.Duration) { m.wait.Observe(took.Seconds()) }
 
 // Gap implements relay.Metrics.
-func (m *metrics) Gap(longest time.Duration) { m.eventGap.Observe(longest.Seconds()) }
+func (m *metrics) ObserveStreamGap(longest time.Duration) { m.eventGap.Observe(longest.Seconds()) }
 
 // Decided implements relay.Metrics.
-func (m *metrics) Decided(action, reason string) { m.decisions.WithLabelValues(action, reason).Inc() }
+func (m *metrics) CountDecision(action, reason string) {
+	m.decisions.WithLabelValues(action, reason).Inc()
+}
 
 // SentLimited implements relay.Metrics.
-func (m *metrics) SentLimited() { m.sentLimited.Inc() }
+func (m *metrics) CountRateLimitedAttempt() { m.sentLimited.Inc() }
 
 // ordered counts an order to a server.
 func (m *metrics) ordered(result string) { m.orders.WithLabelValues(result).Inc() }
@@ -125,9 +127,9 @@
 	g("store_down", "1 while the store doesn't answer this instance.", func() float64 { return oneIf(i.storeIsDown()) })
 	g("lease_held", "1 while this instance holds the lease.", func() float64 { return oneIf(i.lease.Holds()) })
 	g("instances", "Live instances.", func() float64 { return float64(i.instances()) })
-	g("servers_rate_limited", "Servers that name a rate limit.", func() float64 { return float64(i.relay.RateLimited()) })
-	g("servers_paused", "Servers that get no requests from this instance until their Retry-After has passed.", func() float64 { return float64(i.relay.Paused()) })
-	g("requests_in_hand", "Requests in hand.", func() float64 { return float64(i.relay.InHand()) })
+	g("servers_rate_limited", "Servers that name a rate limit.", func() float64 { return float64(i.relay.RateLimitedServers()) })
+	g("servers_paused", "Servers that get no requests from this instance until their Retry-After has passed.", func() float64 { return float64(i.relay.PausedServers()) })
+	g("requests_in_hand", "Requests in hand.", func() float64 { return float64(i.relay.ActiveRequests()) })
 }
 
 func oneIf(b bool) float64 {
--- a/instance/servers.go
+++ b/instance/servers.go
@@ -90,7 +90,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.at = unread
-	l.fleet.StoreBack(now)
+	l.fleet.StoreRecovered(now)
 }
 
 // take takes in a read, and hands the list on where anything but heartbeats changed.
@@ -104,9 +104,9 @@
 	if r.all {
 		changed = l.fleet.Reset(now, r.changes)
 	} else {
-		changed = l.fleet.Apply(now, r.changes)
+		changed = l.fleet.ApplyChanges(now, r.changes)
 	}
-	changed = l.fleet.Expire(now) || changed
+	changed = l.fleet.RemoveExpired(now) || changed
 	l.at, l.freshAt = r.next, now
 	if changed || r.all {
 		changedTo(l.fleet.Servers())
@@ -117,7 +117,7 @@
 func (l *serverList) storeBack(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.StoreBack(now)
+	l.fleet.StoreRecovered(now)
 }
 
 func (l *serverList) digest() uint64 {
@@ -131,7 +131,7 @@
 func (l *serverList) steps(now time.Time, digest uint64, loads map[string]residency.Load) *exchange.ServerSteps {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	deltas, ok := l.fleet.Since(digest)
+	deltas, ok := l.fleet.DeltasSince(digest)
 	if !ok || l.freshAt.IsZero() {
 		return nil
 	}
@@ -181,7 +181,7 @@
 		deltas = append(deltas, deltaOf(s))
 	}
 	before := l.fleet.Digest()
-	if l.fleet.Follow(deltas, told.GetDigest()) {
+	if l.fleet.ApplyDeltas(deltas, told.GetDigest()) {
 		l.at, l.freshAt, l.fedUntil = topology.Position{Era: told.GetEra(), Offset: told.GetPosition()}, fresh, fresh.Add(fedFor)
 	} else {
 		l.at, l.fedUntil = unread, time.Time{}
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -28,9 +28,9 @@
 // been told how many they are. Each took itself for one of eighteen, and together they
 // would have repeated 8,260 requests in ten seconds, of 630 allowed.
 func TestRepeatsAreBoundedBeforeInstancesAreCounted(t *testing.T) {
-	v := topology.View{Nodes: map[string]int{}}
+	v := topology.View{InstancesByDomain: map[string]int{}}
 	for _, domain := range []string{"a", "b", "c", "d", "e", "f"} {
-		v.Nodes[domain] = assumedInstances
+		v.InstancesByDomain[domain] = assumedInstances
 	}
 	p := shareholder().retryPolicy(&v)
 	require.LessOrEqual(t, repeats(p), 630.0)
@@ -38,6 +38,6 @@
 }
 
 func TestRepeatsAreBoundedOnceInstancesAreCounted(t *testing.T) {
-	v := topology.View{Nodes: map[string]int{"a": 100, "b": 195}, Counted: true}
+	v := topology.View{InstancesByDomain: map[string]int{"a": 100, "b": 195}, InstancesKnown: true}
 	require.LessOrEqual(t, repeats(shareholder().retryPolicy(&v)), 630.0)
 }
--- a/instance/sync.go
+++ b/instance/sync.go
@@ -92,7 +92,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-s.instance.relay.Wanted():
+		case <-s.instance.relay.SyncNeeded():
 		}
 		if s.instance.ready() {
 			s.once(ctx)
@@ -364,8 +364,8 @@
 	if s.Ordering {
 		i.orderedAt = time.Now()
 	}
-	if len(s.Instances) > 0 && !(i.view.Counted && maps.Equal(i.view.Nodes, s.Instances)) {
-		i.view.Nodes, i.view.Counted = s.Instances, true
+	if len(s.Instances) > 0 && !(i.view.InstancesKnown && maps.Equal(i.view.InstancesByDomain, s.Instances)) {
+		i.view.InstancesByDomain, i.view.InstancesKnown = s.Instances, true
 		i.log.WithField("instances", s.Instances).Info("instances counted")
 		i.rebuild()
 	}
@@ -379,13 +379,13 @@
 	}
 	servers := i.view.Servers
 	i.mu.Unlock()
-	i.relay.RatesTold(sent, s.Rates)
+	i.relay.ApplyRateShares(sent, s.Rates)
 	if s.Loads == nil {
 		return // told for another list of servers: the next word brings them
 	}
 	age := i.syncEvery() / 2 // the others' words are that old
 	for n := range servers {
-		i.relay.Reported(servers[n].ID, s.Loads[servers[n].ID], age)
+		i.relay.UpdateRemoteLoad(servers[n].ID, s.Loads[servers[n].ID], age)
 	}
 }
 
@@ -393,8 +393,8 @@
 // holds. The lock is held.
 func (i *Instance) noteExpected() {
 	expected := i.orderedAt.IsZero() || time.Since(i.orderedAt) < expectedFor
-	if expected != i.view.Expected {
-		i.view.Expected = expected
+	if expected != i.view.LoadOnDemand {
+		i.view.LoadOnDemand = expected
 		i.log.WithField("expected", expected).Info("models that no server holds are loaded on demand")
 		i.rebuild()
 	}
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-var headers = []string{
+var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
 // Drop removes the headers that concern one connection, with those that its
 // Connection header names.
-func Drop(h http.Header) {
+func RemoveHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
 			if name = strings.TrimSpace(name); name != "" {
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	for _, name := range headers {
+	for _, name := range connectionHeaders {
 		delete(h, name)
 	}
 }
--- a/internal/stall/stall.go
+++ b/internal/stall/stall.go
@@ -9,37 +9,37 @@
 )
 
 // Error says that a server was silent for longer than it may be.
-type Error struct{ After time.Duration }
+type Error struct{ Limit time.Duration }
 
 // Error implements error.
-func (e *Error) Error() string { return fmt.Sprintf("no answer for %s", e.After) }
+func (e *Error) Error() string { return fmt.Sprintf("no answer for %s", e.Limit) }
 
 // Watchdog ends an attempt whose server is silent. It watches only while it is
 // armed, so that a caller that reads slowly isn't taken for a silent server.
 type Watchdog struct {
-	cancel context.CancelCauseFunc
-	limit  atomic.Int64 // ns; read by the timer as well
-	timer  *time.Timer
-	ctx    context.Context
-	off    bool // the request may not be dispatched again: never ends it
+	cancel   context.CancelCauseFunc
+	limit    atomic.Int64 // ns; read by the timer as well
+	timer    *time.Timer
+	ctx      context.Context
+	disabled bool // the request may not be dispatched again: never ends it
 }
 
 // Watch returns a watchdog, armed with the limit, and the context that it ends.
 func Watch(ctx context.Context, limit time.Duration, on bool) *Watchdog {
-	w := &Watchdog{off: !on}
+	w := &Watchdog{disabled: !on}
 	w.limit.Store(int64(limit))
 	w.ctx, w.cancel = context.WithCancelCause(ctx)
 	if on {
-		w.timer = time.AfterFunc(limit, w.bite)
+		w.timer = time.AfterFunc(limit, w.expire)
 	}
 	return w
 }
 
-func (w *Watchdog) bite() { w.cancel(&Error{After: time.Duration(w.limit.Load())}) }
+func (w *Watchdog) expire() { w.cancel(&Error{Limit: time.Duration(w.limit.Load())}) }
 
 // Arm starts to watch. It is called while the watchdog is disarmed.
 func (w *Watchdog) Arm() {
-	if !w.off {
+	if !w.disabled {
 		w.timer.Reset(time.Duration(w.limit.Load()))
 	}
 }
@@ -48,7 +48,7 @@
 // while the watchdog is armed, and says whether that came too late: then the
 // attempt is ended, whatever has just come from the server.
 func (w *Watchdog) Disarm(limit time.Duration) (late bool) {
-	if w.off {
+	if w.disabled {
 		return false
 	}
 	late = !w.timer.Stop()
@@ -58,7 +58,7 @@
 
 // Stop frees the watchdog and ends its context.
 func (w *Watchdog) Stop() {
-	if !w.off {
+	if !w.disabled {
 		w.timer.Stop()
 	}
 	w.cancel(nil)
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDisarmSaysWhetherTheAttemptHasEnded(t *testing.T) {
+func TestDisarmReportsExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := Watch(t.Context(), time.Second, true)
 		defer w.Stop()
@@ -23,11 +23,11 @@
 		require.True(t, w.Disarm(2*time.Second))
 		var silent *Error
 		require.ErrorAs(t, context.Cause(w.Context()), &silent)
-		require.Equal(t, 2*time.Second, silent.After)
+		require.Equal(t, 2*time.Second, silent.Limit)
 	})
 }
 
-func TestOneThatIsOffNeverEndsAnAttempt(t *testing.T) {
+func TestDisabledWatchdogNeverExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := Watch(t.Context(), time.Second, false)
 		time.Sleep(time.Minute)
--- a/netconn/netconn.go
+++ b/netconn/netconn.go
@@ -24,19 +24,19 @@
 	unackedTimeout = 2 * time.Second
 	// probeIdle, probeEvery and probes find a silent connection within three
 	// seconds; one lost probe alone breaks nothing.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probes     = 2
+	probeIdle     = time.Second
+	probeInterval = time.Second
+	probeCount    = 2
 	// buffer is the size of a connection's read and write buffers: an event of a
 	// stream or a small answer fits, and a thousand connections take 8 MB.
-	buffer = 4 << 10
+	bufferSize = 4 << 10
 )
 
 // Dialer opens connections that notice a silent other side.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probes},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
 		Control: func(_, _ string, c syscall.RawConn) error {
 			var set error
 			err := c.Control(func(fd uintptr) {
@@ -54,7 +54,7 @@
 // it and has not arrived is then lost: a request that was given up on while the
 // network was cut would otherwise be delivered once it heals, seconds after a
 // newer one.
-func dialReset(ctx context.Context, network, addr string) (net.Conn, error) {
+func dialWithReset(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := Dialer().DialContext(ctx, network, addr)
 	if err != nil {
 		return nil, err
@@ -72,12 +72,12 @@
 // each address, for at most idleTime.
 func Transport(idle int, idleTime time.Duration) *http.Transport {
 	return &http.Transport{
-		DialContext:         dialReset,
+		DialContext:         dialWithReset,
 		DisableCompression:  true, // bodies pass as they are
 		MaxIdleConnsPerHost: idle,
 		IdleConnTimeout:     idleTime,
-		ReadBufferSize:      buffer,
-		WriteBufferSize:     buffer,
+		ReadBufferSize:      bufferSize,
+		WriteBufferSize:     bufferSize,
 	}
 }
 
--- a/netconn/netconn_test.go
+++ b/netconn/netconn_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-func TestAConnectionThatIsGivenUpOnIsReset(t *testing.T) {
+func TestClosedConnectionIsReset(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer l.Close()
@@ -29,13 +29,13 @@
 		_, err = io.ReadAll(conn)
 		ended <- err
 	}()
-	conn, err := dialReset(context.Background(), "tcp4", l.Addr().String())
+	conn, err := dialWithReset(context.Background(), "tcp4", l.Addr().String())
 	require.NoError(t, err)
 	require.NoError(t, conn.Close())
 	require.ErrorIs(t, <-ended, unix.ECONNRESET)
 }
 
-func TestTransportNoticesSilenceByItself(t *testing.T) {
+func TestDialerSocketOptions(t *testing.T) {
 	server := httptest.NewServer(http.NotFoundHandler())
 	defer server.Close()
 	conn, err := Dialer().Dial("tcp4", server.Listener.Addr().String())
@@ -53,7 +53,7 @@
 	}))
 }
 
-func TestBootTimeRuns(t *testing.T) {
+func TestBootTimeIncreases(t *testing.T) {
 	before := BootTime()
 	require.Positive(t, before)
 	require.LessOrEqual(t, before, BootTime())
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -19,87 +19,89 @@
 )
 
 const (
-	// keptBytes is the largest answer that is held whole before its first byte
-	// goes out, so that one that breaks off can be tried again or told as a
-	// failure. Larger ones are sent on as they arrive.
-	keptBytes = 64 << 10
-	// silentPart is the part of a repeatable request's time after which a server
-	// that has said nothing is given up on, while there is time for another.
-	silentPart = 0.35
-	// silentLeast bounds that from below: a server that is only busy answers.
-	silentLeast = 1200 * time.Millisecond
-	// streamSilence and gapsSilent bound how long a resumable stream may pause
-	// before it goes on at another server: longer than any batch's step, shorter
-	// than callers wait.
-	streamSilence = 2 * time.Second
-	gapsSilent    = 4
+	// maxBufferedBytes is the largest response body that is read completely before its
+	// first byte is sent, so that a truncated response can be retried or answered with an
+	// error. Larger ones are sent as they arrive.
+	maxBufferedBytes = 64 << 10
+	// silenceTimeoutFraction is the fraction of the time until the deadline after which
+	// a retryable request is retried if its server has sent nothing, so that time is left
+	// for another server.
+	silenceTimeoutFraction = 0.35
+	// minSilenceTimeout is the lower bound of that timeout: a server that is only busy
+	// responds within it.
+	minSilenceTimeout = 1200 * time.Millisecond
+	// A resumable stream is resumed at another server after a pause of
+	// minStreamGapTimeout or streamGapFactor times the route's longest gap, whichever is
+	// longer. This exceeds any batch's step and is less than callers wait.
+	minStreamGapTimeout = 2 * time.Second
+	streamGapFactor     = 4
 )
 
-// attempt sends the request to the decided server and passes its answer on. It
-// returns the class of the call's end, or empty where the scheduler decides again.
+// attempt sends the request to the server of the decision and relays the response. It
+// returns the request's outcome, or "" if a new decision of the scheduler follows.
 func (c *call) attempt(ctx context.Context, d decide.Decision) string {
 	c.attempts++
 	sent := time.Now()
 	if !c.sent {
 		c.sent = true
-		c.relay.opts.Metrics.Waited(sent.Sub(c.arrived))
+		c.relay.opts.Metrics.ObserveQueueTime(sent.Sub(c.arrived))
 	}
-	watch := stall.Watch(ctx, max(silentLeast, time.Duration(silentPart*float64(c.deadline.Sub(sent)))), c.mayMove(d))
+	watch := stall.Watch(ctx, max(minSilenceTimeout, time.Duration(silenceTimeoutFraction*float64(c.deadline.Sub(sent)))), c.canRetryElsewhere(d))
 	defer watch.Stop()
 	ctx = watch.Context()
 	transport := c.relay.backends.get(d.Server.ID, d.Server.Addr)
-	res, err := infra.Send("relay", d.Server.Addr, transport.RoundTrip, c.forward(ctx, d.Server))
+	res, err := infra.Send("relay", d.Server.Addr, transport.RoundTrip, c.forwardedRequest(ctx, d.Server))
 	if err != nil {
-		return c.noAnswer(ctx, d, err)
+		return c.handleAttemptError(ctx, d, err)
 	}
 	defer res.Body.Close()
-	c.relay.backends.answered(d.Server.ID, res.Header)
-	said := c.relay.opts.Headers.Answer(res.StatusCode, res.Header)
-	c.lastAnswer, c.lastAnswerBy = said, d.Server.ID
-	c.relay.desk.answered(c, d.Server.ID, sent, res.StatusCode, said)
-	// A 421 may come from another server that now has the address, so it counts only if it
-	// names the intended one.
-	if said.Leaving && c.relay.opts.OnLeaving != nil && (res.StatusCode != http.StatusMisdirectedRequest || said.ServerID == d.Server.ID) {
+	c.relay.backends.handleResponse(d.Server.ID, res.Header)
+	headers := c.relay.opts.Headers.ResponseHeaders(res.StatusCode, res.Header)
+	c.lastResponse, c.lastResponseServer = headers, d.Server.ID
+	c.relay.dispatcher.handleResponse(c, d.Server.ID, sent, res.StatusCode, headers)
+	// A 421 may come from another server that now has the address, so its leaving notice
+	// counts only if it names the intended server.
+	if headers.Leaving && c.relay.opts.OnLeaving != nil && (res.StatusCode != http.StatusMisdirectedRequest || headers.ServerID == d.Server.ID) {
 		c.relay.opts.OnLeaving(topology.ServerStart{ID: d.Server.ID, Start: d.Server.Start})
 	}
-	if said.NotRun {
-		c.logAttempt(d, "not_run", res.StatusCode)
-		return c.notRun(res.StatusCode, said.RetryAfter)
+	if headers.NotRun {
+		c.logFailedAttempt(d, "not_run", res.StatusCode)
+		return c.handleNotRun(res.StatusCode, headers.RetryAfter)
 	}
-	if !c.genuine(res, said) {
-		c.logAttempt(d, "not_the_servers_answer", res.StatusCode)
-		c.attemptFailed(decide.Failure{Reason: infra.ReasonProtocol})
+	if !c.isAuthentic(res, headers) {
+		c.logFailedAttempt(d, "not_the_servers_answer", res.StatusCode)
+		c.reportFailure(decide.Failure{Reason: infra.ReasonProtocol})
 		return ""
 	}
 	if c.route.Stream && res.StatusCode/100 == 2 {
-		return c.passStream(ctx, d, res, sent, watch)
+		return c.relayStream(ctx, d, res, sent, watch)
 	}
-	return c.passWhole(ctx, d, res, sent)
+	return c.relayResponse(ctx, d, res, sent)
 }
 
-// mayMove says whether the request may go on at another server if this one falls
-// silent. Where it may not, silence is no reason to end the attempt: the server
-// may only be busy, and its answer is the only one that there can be.
-func (c *call) mayMove(d decide.Decision) bool {
-	return c.route.Repeat != topology.RunOnce && c.attempts < c.route.Attempts && d.Reason != decide.ReasonOnly
+// canRetryElsewhere reports whether the request may be retried at another server if
+// this one falls silent. If not, the attempt is not ended for silence: the server may
+// only be busy, and no other server can respond.
+func (c *call) canRetryElsewhere(d decide.Decision) bool {
+	return c.route.Retry != topology.AtMostOnce && c.attempts < c.route.Attempts && d.Reason != decide.ReasonOnly
 }
 
-// forward returns the request as the server gets it.
-func (c *call) forward(ctx context.Context, s decide.Server) *http.Request {
+// forwardedRequest returns the request to send to the server.
+func (c *call) forwardedRequest(ctx context.Context, s decide.Server) *http.Request {
 	h := c.req.Header.Clone()
-	hop.Drop(h)
-	delete(h, "Expect") // this connection's: the body has been read
-	a := Attempt{
-		Server:  s.ID,
-		Left:    time.Until(c.deadline),
-		Urgency: min(firstUrgency+c.route.Rank, lowestUrgency),
+	hop.RemoveHeaders(h)
+	delete(h, "Expect") // meant for this instance, which has read the body
+	a := AttemptHeaders{
+		Server:    s.ID,
+		Remaining: time.Until(c.deadline),
+		Urgency:   min(topUrgency+c.route.Rank, lowestUrgency),
 	}
-	if c.stream.begun {
-		a.LastEvent = c.stream.last
+	if c.stream.started {
+		a.LastEventID = c.stream.lastID
 	}
-	c.relay.opts.Headers.Forward(h, a)
+	c.relay.opts.Headers.SetAttempt(h, a)
 	if len(h["User-Agent"]) == 0 {
-		h["User-Agent"] = []string{""} // the caller sent none: neither does net/http
+		h["User-Agent"] = []string{""} // the caller sent none: keeps net/http from adding its own
 	}
 	req := &http.Request{
 		Method: c.req.Method,
@@ -115,17 +117,18 @@
 	return req.WithContext(ctx)
 }
 
-// genuine says whether an answer is the server's own, to this request. An
-// answer that came late to an earlier request bears another id.
-func (c *call) genuine(res *http.Response, said Answer) bool {
-	if said.Encoded || !said.Sealed {
+// isAuthentic reports whether the server itself sent the response, and to this request.
+// A late response to an earlier request has another id.
+func (c *call) isAuthentic(res *http.Response, headers ResponseHeaders) bool {
+	if headers.Encoded || !headers.Sealed {
 		return false
 	}
-	return said.RequestID == c.said.ID
+	return headers.RequestID == c.headers.ID
 }
 
-// noAnswer deals with an attempt that got no answer.
-func (c *call) noAnswer(ctx context.Context, d decide.Decision, err error) string {
+// handleAttemptError handles an attempt that failed before the response was complete.
+// It returns the request's outcome, or "" if a decision follows.
+func (c *call) handleAttemptError(ctx context.Context, d decide.Decision, err error) string {
 	f := decide.Failure{Reason: infra.ReasonUnreachable}
 	var e *infra.Error
 	if errors.As(err, &e) {
@@ -133,35 +136,35 @@
 	}
 	f.Unsent = f.Effect == infra.EffectNone
 	if c.req.Context().Err() != nil || context.Cause(ctx) == context.DeadlineExceeded {
-		return c.endedBeforeAnswer(ctx, d, f)
+		return c.abandonAttempt(ctx, d, f)
 	}
 	var silent *stall.Error
 	if errors.As(context.Cause(ctx), &silent) {
 		f.Reason, err = infra.ReasonTimeout, silent
 	}
-	c.logAttempt(d, err.Error(), 0)
+	c.logFailedAttempt(d, err.Error(), 0)
 	if f.Unsent {
 		c.attempts--
 	}
-	c.attemptFailed(f)
+	c.reportFailure(f)
 	return ""
 }
 
-// endedBeforeAnswer ends a call whose caller left, or whose time was up, while
-// its attempt had no answer.
-func (c *call) endedBeforeAnswer(ctx context.Context, d decide.Decision, f decide.Failure) string {
-	c.ran = c.ran || !f.Unsent
-	c.relay.desk.left(c)
-	why := "deadline before its answer"
+// abandonAttempt ends a call whose caller disconnected or whose deadline passed before
+// the attempt's response was complete.
+func (c *call) abandonAttempt(ctx context.Context, d decide.Decision, f decide.Failure) string {
+	c.mayHaveRun = c.mayHaveRun || !f.Unsent
+	c.relay.dispatcher.abandon(c)
+	why := "deadline passed before the response was complete"
 	if c.req.Context().Err() != nil {
-		why = "caller left before its answer"
+		why = "caller disconnected before the response was complete"
 	}
-	c.logAttempt(d, why, 0)
-	return c.timeUp(ctx)
+	c.logFailedAttempt(d, why, 0)
+	return c.endOnContextDone(ctx)
 }
 
-// notRun deals with a server that refused the request before starting.
-func (c *call) notRun(status int, retryAfter time.Duration) string {
+// handleNotRun handles a server's refusal to run the request.
+func (c *call) handleNotRun(status int, retryAfter time.Duration) string {
 	f := decide.Failure{Reason: infra.ReasonOverloaded, Effect: infra.EffectNone, RetryAfter: retryAfter}
 	switch status {
 	case http.StatusMisdirectedRequest:
@@ -169,94 +172,96 @@
 	case http.StatusBadRequest:
 		f.Reason = infra.ReasonBadRequest
 	}
-	c.attemptFailed(f)
+	c.reportFailure(f)
 	return ""
 }
 
-// passWhole passes an answer on that is held until it is whole, or is too large
-// for that.
-func (c *call) passWhole(ctx context.Context, d decide.Decision, res *http.Response, sent time.Time) string {
-	body, err := io.ReadAll(io.LimitReader(res.Body, keptBytes+1))
+// relayResponse relays a response that is not a stream. Responses of up to
+// maxBufferedBytes are read completely first.
+func (c *call) relayResponse(ctx context.Context, d decide.Decision, res *http.Response, sent time.Time) string {
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxBufferedBytes+1))
 	if err != nil {
-		return c.noAnswer(ctx, d, err)
+		return c.handleAttemptError(ctx, d, err)
 	}
-	if len(body) > keptBytes {
-		return c.passLarge(ctx, d, res, body, sent)
+	if len(body) > maxBufferedBytes {
+		return c.relayUnbuffered(ctx, d, res, body, sent)
 	}
-	k := &kept{status: res.StatusCode, header: res.Header, body: body}
+	buffered := &bufferedResponse{status: res.StatusCode, header: res.Header, body: body}
 	if res.StatusCode >= 500 {
-		return c.serverFailed(d, k)
+		return c.handleServerFailure(d, buffered)
 	}
-	c.relay.desk.ended(c, c.completed(sent, res.StatusCode))
-	c.writeKept(k)
-	c.log(reasonAnswered, res.StatusCode)
+	c.relay.dispatcher.completed(c, c.outcome(sent, res.StatusCode))
+	c.writeBuffered(buffered)
+	c.logEnd(reasonAnswered, res.StatusCode)
 	return outcomeDone
 }
 
-// serverFailed deals with a server's own failure: it ran the request. What may
-// run again is tried elsewhere, and what may not is told as the server told it.
-func (c *call) serverFailed(d decide.Decision, k *kept) string {
-	c.logAttempt(d, "server_failure", k.status)
-	if k.status != http.StatusServiceUnavailable { // that would promise that it didn't run
-		c.failed = k
+// handleServerFailure handles a server's error response: the server ran the request. If
+// the request is not retried, or all retries fail, this response is relayed.
+func (c *call) handleServerFailure(d decide.Decision, buffered *bufferedResponse) string {
+	c.logFailedAttempt(d, "server_failure", buffered.status)
+	if buffered.status != http.StatusServiceUnavailable { // a 503 would promise that the request did not run
+		c.lastFailure = buffered
 	}
-	c.attemptFailed(decide.Failure{Reason: infra.ReasonFailed, RetryAfter: c.lastAnswer.RetryAfter})
+	c.reportFailure(decide.Failure{Reason: infra.ReasonFailed, RetryAfter: c.lastResponse.RetryAfter})
 	return ""
 }
 
-func (c *call) completed(sent time.Time, status int) decide.Outcome {
+// outcome returns the scheduler's outcome of a response that is not a stream.
+func (c *call) outcome(sent time.Time, status int) decide.Outcome {
 	return decide.Outcome{Complete: status/100 == 2, FirstToken: time.Since(sent), Total: time.Since(sent), Tokens: 1}
 }
 
-// passLarge passes on an answer that is too large to be held.
-func (c *call) passLarge(ctx context.Context, d decide.Decision, res *http.Response, head []byte, sent time.Time) string {
+// relayUnbuffered relays a response that exceeds maxBufferedBytes. The caller receives
+// head, the part already read, and then the rest as it arrives.
+func (c *call) relayUnbuffered(ctx context.Context, d decide.Decision, res *http.Response, head []byte, sent time.Time) string {
 	c.writeHead(res.StatusCode, res.Header)
 	_, err := c.w.Write(head)
 	if err == nil {
 		_, err = io.Copy(c.w, res.Body)
 	}
 	if err != nil {
-		c.relay.desk.left(c)
-		c.ran = true
-		c.logAttempt(d, err.Error(), res.StatusCode)
+		c.relay.dispatcher.abandon(c)
+		c.mayHaveRun = true
+		c.logFailedAttempt(d, err.Error(), res.StatusCode)
 		c.abort("broken_off")
 	}
-	c.relay.desk.ended(c, c.completed(sent, res.StatusCode))
-	c.log(reasonAnswered, res.StatusCode)
+	c.relay.dispatcher.completed(c, c.outcome(sent, res.StatusCode))
+	c.logEnd(reasonAnswered, res.StatusCode)
 	return outcomeDone
 }
 
-// writeKept writes a server's whole answer.
-func (c *call) writeKept(k *kept) {
+// writeBuffered sends a server's complete response.
+func (c *call) writeBuffered(buffered *bufferedResponse) {
 	c.firstByte = time.Now()
-	c.relay.opts.Metrics.FirstByte(time.Since(c.arrived))
-	c.writeHead(k.status, k.header)
-	_, _ = c.w.Write(k.body) // the caller has gone if it fails
+	c.relay.opts.Metrics.ObserveFirstByte(time.Since(c.arrived))
+	c.writeHead(buffered.status, buffered.header)
+	_, _ = c.w.Write(buffered.body) // fails only if the caller disconnected
 }
 
-// writeHead writes a server's status and headers, without those that concern
-// one connection.
+// writeHead sends a server's status and headers, without the hop-by-hop headers.
 func (c *call) writeHead(status int, from http.Header) {
 	h := c.w.Header()
 	closing := h.Get("Connection")
 	for name, values := range from {
 		h[name] = values
 	}
-	hop.Drop(h)
+	hop.RemoveHeaders(h)
 	delete(h, "Expect")
 	if closing != "" {
 		h.Set("Connection", closing)
 	}
 	if _, ok := h["Content-Type"]; !ok {
-		h["Content-Type"] = nil // net/http would guess one
+		h["Content-Type"] = nil // keeps net/http from guessing one
 	}
 	c.w.WriteHeader(status)
 }
 
-// logAttempt writes the line for an attempt that went wrong.
-func (c *call) logAttempt(d decide.Decision, reason string, status int) {
+// logFailedAttempt writes the log line for a failed attempt. A status of 0 means that
+// there was no response.
+func (c *call) logFailedAttempt(d decide.Decision, reason string, status int) {
 	f := logrus.Fields{
-		"request": c.said.ID,
+		"request": c.headers.ID,
 		"attempt": c.attempts,
 		"server":  d.Server.ID,
 		"addr":    d.Server.Addr,
@@ -265,11 +270,11 @@
 		"error":   reason,
 		"ms":      time.Since(c.arrived).Milliseconds(),
 	}
-	// Without a status, lastAnswer may belong to an earlier attempt.
-	if status != 0 && c.lastAnswer.RetryAfter > 0 {
-		f["retry_after_ms"] = c.lastAnswer.RetryAfter.Milliseconds()
+	// Without a status, lastResponse may belong to an earlier attempt.
+	if status != 0 && c.lastResponse.RetryAfter > 0 {
+		f["retry_after_ms"] = c.lastResponse.RetryAfter.Milliseconds()
 	}
-	if status != 0 && c.lastAnswer.Leaving {
+	if status != 0 && c.lastResponse.Leaving {
 		f["server_leaving"] = true
 	}
 	c.relay.opts.Log.WithFields(f).Warn("attempt failed")
--- a/relay/backends.go
+++ b/relay/backends.go
@@ -12,98 +12,101 @@
 )
 
 const (
-	// idleKept is how long an unused connection is kept to a server that doesn't
-	// say when it closes its own; one that does keeps for idlePart of that. A
-	// request that crosses the server's close is lost if it may not run twice, so
-	// ours goes first; and a new connection costs a server time.
-	idleKept = 4 * time.Second
-	idlePart = 0.8
-	// longestIdle bounds what a server may have an instance keep.
-	longestIdle = time.Minute
-	// idlePerServer bounds the unused connections to one server: a batch of
-	// requests that ended together is followed by another.
-	idlePerServer = 32
+	// defaultIdleTimeout is the idle timeout of connections to a server that sends no
+	// Keep-Alive timeout. If it sends one, idleTimeoutFraction of that applies: the
+	// instance must close first, since a non-idempotent request that is sent while the
+	// server closes the connection is lost. The timeout is not shorter because new
+	// connections cost servers time.
+	defaultIdleTimeout  = 4 * time.Second
+	idleTimeoutFraction = 0.8
+	// maxIdleTimeout is the upper bound of the idle timeout, whatever a server sends.
+	maxIdleTimeout = time.Minute
+	// maxIdlePerServer bounds the idle connections to one server. It has to cover a
+	// batch of requests that end together, since another batch follows.
+	maxIdlePerServer = 32
 )
 
-// backendKey names one start of a server at one address: connections to an
-// earlier start, or to the server that had the address before, aren't used.
-type backendKey struct {
-	id, addr string
-	born     time.Time
+// poolKey identifies one start of a server at one address. Connections to an earlier
+// start, or to another server that had the address before, are not used.
+type poolKey struct {
+	id, addr  string
+	startedAt time.Time
 }
 
-// backends holds a pool of connections for each server. The zero value is ready.
+// backends holds a connection pool for each server. The zero value is ready to use. It
+// is safe for concurrent use.
 type backends struct {
 	mu    sync.Mutex
-	pools map[string]*backend // by server id
+	pools map[string]*connPool // by server id
 }
 
-type backend struct {
-	key       backendKey
-	transport *http.Transport
-	idle      time.Duration // how long the transport keeps an unused connection
+type connPool struct {
+	key         poolKey
+	transport   *http.Transport
+	idleTimeout time.Duration // of the transport's connections
 }
 
-// get returns the transport to a server.
+// get returns the transport for a server.
 func (b *backends) get(id, addr string) *http.Transport {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if p := b.pools[id]; p != nil && p.key.addr == addr {
 		return p.transport
 	}
-	return b.put(backendKey{id: id, addr: addr}, idleKept)
+	return b.replace(poolKey{id: id, addr: addr}, defaultIdleTimeout)
 }
 
-// answered takes in how long the server says that it keeps unused connections.
-func (b *backends) answered(id string, h http.Header) {
-	idle := time.Duration(float64(keepAlive(h.Get("Keep-Alive"))) * idlePart)
-	if idle <= 0 {
+// handleResponse applies the Keep-Alive header of a server's response.
+func (b *backends) handleResponse(id string, h http.Header) {
+	idleTimeout := time.Duration(float64(keepAliveTimeout(h.Get("Keep-Alive"))) * idleTimeoutFraction)
+	if idleTimeout <= 0 {
 		return
 	}
-	idle = min(idle, longestIdle)
+	idleTimeout = min(idleTimeout, maxIdleTimeout)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if p := b.pools[id]; p != nil && p.idle != idle {
-		b.put(p.key, idle)
+	if p := b.pools[id]; p != nil && p.idleTimeout != idleTimeout {
+		b.replace(p.key, idleTimeout)
 	}
 }
 
-// keepAlive returns the timeout that a Keep-Alive header names, 0 if none.
-func keepAlive(value string) time.Duration {
+// keepAliveTimeout returns the timeout in a Keep-Alive header, 0 if there is none.
+func keepAliveTimeout(value string) time.Duration {
 	for _, part := range strings.Split(value, ",") {
 		name, text, _ := strings.Cut(strings.TrimSpace(part), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
 		if n, err := strconv.Atoi(strings.TrimSpace(text)); err == nil && n > 0 {
-			return time.Duration(min(n, int(longestIdle/time.Second)*2)) * time.Second
+			return time.Duration(min(n, int(maxIdleTimeout/time.Second)*2)) * time.Second
 		}
 	}
 	return 0
 }
 
-// put begins a pool. The lock is held.
-func (b *backends) put(k backendKey, idle time.Duration) *http.Transport {
+// replace creates a pool and closes the idle connections of the server's old one. The
+// lock is held.
+func (b *backends) replace(k poolKey, idleTimeout time.Duration) *http.Transport {
 	if b.pools == nil {
-		b.pools = map[string]*backend{}
+		b.pools = map[string]*connPool{}
 	}
 	if old := b.pools[k.id]; old != nil {
 		old.transport.CloseIdleConnections()
 	}
-	t := netconn.Transport(idlePerServer, idle)
-	b.pools[k.id] = &backend{key: k, transport: t, idle: idle}
+	t := netconn.Transport(maxIdlePerServer, idleTimeout)
+	b.pools[k.id] = &connPool{key: k, transport: t, idleTimeout: idleTimeout}
 	return t
 }
 
-// keep drops the pools of servers that are gone, and begins new ones for those
-// that started again.
-func (b *backends) keep(servers []topology.Server) {
+// retainListed removes the pools of servers that are not listed, and replaces the pools
+// of servers that restarted or changed their address.
+func (b *backends) retainListed(servers []topology.Server) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	listed := make(map[string]backendKey, len(servers))
+	listed := make(map[string]poolKey, len(servers))
 	for i := range servers {
 		s := &servers[i]
-		listed[s.ID] = backendKey{s.ID, s.Addr, s.Born}
+		listed[s.ID] = poolKey{s.ID, s.Addr, s.Born}
 	}
 	for id, p := range b.pools {
 		k, ok := listed[id]
@@ -111,10 +114,10 @@
 		case !ok:
 			p.transport.CloseIdleConnections()
 			delete(b.pools, id)
-		case p.key.born.IsZero():
-			p.key.born = k.born
+		case p.key.startedAt.IsZero():
+			p.key.startedAt = k.startedAt
 		case k != p.key:
-			b.put(k, p.idle)
+			b.replace(k, p.idleTimeout)
 		}
 	}
 }
--- a/relay/call.go
+++ b/relay/call.go
@@ -18,98 +18,101 @@
 )
 
 const (
-	// defaultTimeout is a request's time where neither its caller nor its route sets one.
+	// defaultTimeout is a request's timeout if neither its caller nor its route sets one.
 	defaultTimeout = 30 * time.Second
-	// timeoutMargin is how long before the end of a request's time its final
-	// answer is sent, so that it still arrives within it.
+	// timeoutMargin is how long before a request's timeout its final response is sent,
+	// so that the response still arrives in time.
 	timeoutMargin = 30 * time.Millisecond
-	// leastPatience, goalsPatient and gapsPatient give how long callers wait for a
-	// stream's first event; patienceMargin is for the way to them.
-	leastPatience  = 2 * time.Second
-	goalsPatient   = 4
-	gapsPatient    = 8
-	patienceMargin = 100 * time.Millisecond
-	// unconfiguredRetry is when to come back to an instance that knows no
-	// configuration yet: it reads one within a second of its start.
-	unconfiguredRetry = 500 * time.Millisecond
-	// firstUrgency and lowestUrgency translate a route's rank, 0 first, to the
-	// urgency that servers know, 1 to 9, of which 5 is the usual one.
-	firstUrgency  = 3
+	// Callers wait for a stream's first event for the longest of minFirstEventTimeout,
+	// firstEventGoalFactor times the route's latency goal and firstEventGapFactor times
+	// its longest gap. firstEventMargin is for the network between caller and instance.
+	minFirstEventTimeout = 2 * time.Second
+	firstEventGoalFactor = 4
+	firstEventGapFactor  = 8
+	firstEventMargin     = 100 * time.Millisecond
+	// unconfiguredRetryAfter is the Retry-After of an instance without a configuration.
+	// An instance reads its configuration within a second of its start.
+	unconfiguredRetryAfter = 500 * time.Millisecond
+	// topUrgency is the urgency sent to servers for a route of rank 0, the most urgent.
+	// Each further rank adds 1, up to lowestUrgency. Servers accept urgencies from 1, the
+	// most urgent, to 9; their default is 5.
+	topUrgency    = 3
 	lowestUrgency = 9
-	// rankedFirst is how many ranks go before the others in the queues here.
-	rankedFirst = 2
+	// prioritizedRanks is how many ranks have a raised priority in this instance's
+	// queues; all further ranks share one priority.
+	prioritizedRanks = 2
 )
 
-// The classes of ends that are counted.
+// The outcomes that requests are counted by.
 const (
-	outcomeDone       = "done"        // the server's whole answer went out
+	outcomeDone       = "done"        // the server's whole response was sent
 	outcomeRefused    = "refused"     // not run
-	outcomeUnknown    = "unknown"     // may have run; an error was answered
-	outcomeBroken     = "broken"      // an answer that had begun was broken off
-	outcomeCallerLeft = "caller_left" // nobody waits for the answer
-	outcomeRejected   = "rejected"    // the request itself can't be served
+	outcomeUnknown    = "unknown"     // may have run; an error was sent
+	outcomeBroken     = "broken"      // the response was aborted after its start
+	outcomeCallerLeft = "caller_left" // the caller disconnected
+	outcomeRejected   = "rejected"    // the request is invalid or has no route
 )
 
-// call is one request of a caller, from its arrival to its final answer.
+// call handles one request of a caller, from its arrival to its final response.
 type call struct {
 	relay   *Relay
 	w       http.ResponseWriter
 	req     *http.Request
 	arrived time.Time
-	said    Request
+	headers RequestHeaders
 
-	id        string // unique at this instance
-	version   int64  // of the configuration that it is handled by
-	route     *topology.Route
-	service   *topology.Service
-	target    string
-	body      []byte
-	deadline  time.Time
-	decisions chan decide.Decision
-	at        string // the server that its attempt is at; the desk's lock guards it
+	id            string // unique within this instance
+	configVersion int64  // of the configuration in use for the request
+	route         *topology.Route
+	service       *topology.Service
+	target        string
+	body          []byte
+	deadline      time.Time
+	decisions     chan decide.Decision
+	serverID      string // of the server that the attempt was dispatched to, empty: none; guarded by dispatcher.mu
 
-	attempts     int
-	sent         bool       // an attempt was begun
-	ran          bool       // an attempt may have run
-	failed       *kept      // the newest whole failure that a server answered
-	lastAnswer   Answer     // the newest answer to any attempt
-	lastAnswerBy string     // the id of the server that lastAnswer came from
-	stream       streamSent // what of a stream the caller has
-	firstByte    time.Time
+	attempts           int
+	sent               bool              // an attempt was started
+	mayHaveRun         bool              // an attempt may have run
+	lastFailure        *bufferedResponse // the newest error response that was read completely
+	lastResponse       ResponseHeaders   // headers of the newest response to any attempt
+	lastResponseServer string            // id of the server that sent lastResponse
+	stream             streamState       // what of a stream was sent to the caller
+	firstByte          time.Time
 }
 
-// kept is a server's whole answer.
-type kept struct {
+// bufferedResponse is a server's response that was read completely.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// serve answers the request and returns the class of its end.
+// serve sends the response and returns the request's outcome.
 func (c *call) serve() string {
 	v := c.relay.view.Load()
 	if v == nil || v.Config == nil {
-		return c.refuse("unconfigured", unconfiguredRetry)
+		return c.refuse("unconfigured", unconfiguredRetryAfter)
 	}
-	if !strings.HasPrefix(c.req.RequestURI, "/") || c.said.ID == "" {
+	if !strings.HasPrefix(c.req.RequestURI, "/") || c.headers.ID == "" {
 		return c.reject(http.StatusBadRequest, "malformed")
 	}
 	if status, reason := c.readBody(v.Config.Limits); status != 0 {
 		return c.reject(status, reason)
 	}
-	v = c.relay.view.Load() // a body may have taken long: the newest configuration holds
+	v = c.relay.view.Load() // reading the body may take long: use the newest configuration
 	path, _, _ := strings.Cut(c.req.RequestURI, "?")
 	c.route = v.Index.Match(c.req.Host, path)
 	if c.route == nil {
 		return c.reject(http.StatusNotFound, "no_route")
 	}
-	c.version = v.Config.Version
+	c.configVersion = v.Config.Version
 	name := c.route.Pick(rand.Float64())
 	service := v.Config.Services[name]
 	c.service = &service
 	c.target = name
 	if service.Engine != nil {
-		c.target = topology.TargetName(name, c.said.Model, c.said.Adapter)
+		c.target = topology.TargetName(name, c.headers.Model, c.headers.Adapter)
 	}
 	c.setDeadline()
 	return c.run()
@@ -120,48 +123,49 @@
 	if c.route.Timeout > 0 {
 		timeout = c.route.Timeout
 	}
-	if c.said.Timeout > 0 {
-		timeout = min(timeout, c.said.Timeout)
+	if c.headers.Timeout > 0 {
+		timeout = min(timeout, c.headers.Timeout)
 	}
 	c.deadline = c.arrived.Add(timeout - min(timeoutMargin, timeout/4))
 }
 
-// request returns what the scheduler needs to know.
-func (c *call) request() decide.Request {
+// schedulerRequest returns the scheduler's description of the request.
+func (c *call) schedulerRequest() decide.Request {
 	r := decide.Request{
 		ID:           c.id,
 		Target:       c.target,
-		Priority:     max(0, rankedFirst-c.route.Rank),
+		Priority:     max(0, prioritizedRanks-c.route.Rank),
 		Arrived:      c.arrived,
 		Deadline:     c.deadline,
-		PromptTokens: c.said.PromptTokens,
-		MaxTokens:    c.said.MaxTokens,
-		LengthHint:   c.said.LengthHint,
-		Prefix:       c.said.SharedPrefix,
-		Idempotent:   c.route.Repeat != topology.RunOnce,
+		PromptTokens: c.headers.PromptTokens,
+		MaxTokens:    c.headers.MaxTokens,
+		LengthHint:   c.headers.LengthHint,
+		Prefix:       c.headers.PrefixHash,
+		Idempotent:   c.route.Retry != topology.AtMostOnce,
 		MaxAttempts:  c.route.Attempts,
 	}
 	if c.route.Stream {
 		r.Goal = c.route.Goal
-		r.StartBy = c.arrived.Add(max(leastPatience, goalsPatient*c.route.Goal, gapsPatient*c.route.MaxGap) - patienceMargin)
+		r.StartBy = c.arrived.Add(max(minFirstEventTimeout, firstEventGoalFactor*c.route.Goal, firstEventGapFactor*c.route.MaxGap) - firstEventMargin)
 	}
 	return r
 }
 
-// run follows the scheduler's decisions to the final answer.
+// run carries out the scheduler's decisions until the final response is sent, and
+// returns the request's outcome.
 func (c *call) run() string {
 	ctx, cancel := context.WithDeadline(c.req.Context(), c.deadline)
 	defer cancel()
-	c.id = c.said.ID + "#" + strconv.FormatUint(c.relay.serial.Add(1), 10)
-	c.relay.desk.arrive(c, c.request())
+	c.id = c.headers.ID + "#" + strconv.FormatUint(c.relay.lastSerial.Add(1), 10)
+	c.relay.dispatcher.submit(c, c.schedulerRequest())
 	for {
 		select {
 		case <-ctx.Done():
-			c.relay.desk.left(c)
-			return c.timeUp(ctx)
+			c.relay.dispatcher.abandon(c)
+			return c.endOnContextDone(ctx)
 		case d := <-c.decisions:
 			if d.Action == decide.ActionRefuse {
-				return c.giveUp(d)
+				return c.endOnRefusal(d)
 			}
 			if outcome := c.attempt(ctx, d); outcome != "" {
 				return outcome
@@ -170,32 +174,32 @@
 	}
 }
 
-// timeUp ends a call whose time is up, or whose caller has gone.
-func (c *call) timeUp(ctx context.Context) string {
+// endOnContextDone ends a call whose deadline has passed or whose caller disconnected.
+func (c *call) endOnContextDone(ctx context.Context) string {
 	if c.req.Context().Err() != nil {
-		c.log(reasonLeft, 0)
+		c.logEnd(reasonCallerLeft, 0)
 		return outcomeCallerLeft
 	}
-	if c.stream.begun {
+	if c.stream.started {
 		c.abort("deadline")
 	}
-	if !c.ran {
+	if !c.mayHaveRun {
 		return c.refuse("deadline", time.Second)
 	}
 	return c.fail(http.StatusGatewayTimeout, "deadline")
 }
 
-// giveUp ends a call that the scheduler won't have tried (again).
-func (c *call) giveUp(d decide.Decision) string {
+// endOnRefusal ends a call that the scheduler refused, possibly after failed attempts.
+func (c *call) endOnRefusal(d decide.Decision) string {
 	switch {
-	case c.stream.begun:
+	case c.stream.started:
 		c.abort(string(d.Reason))
 		return outcomeBroken
-	case c.failed != nil:
-		c.writeKept(c.failed)
-		c.log("server_failure", c.failed.status)
+	case c.lastFailure != nil:
+		c.writeBuffered(c.lastFailure)
+		c.logEnd("server_failure", c.lastFailure.status)
 		return outcomeDone
-	case c.ran:
+	case c.mayHaveRun:
 		return c.fail(http.StatusBadGateway, string(d.Reason))
 	case d.Reason == decide.ReasonUnknownTarget:
 		return c.refuse(string(d.Reason), time.Second)
@@ -203,93 +207,93 @@
 	return c.refuse(string(d.Reason), d.RetryAfter)
 }
 
-// refuse answers that the request has not run and never will.
+// refuse responds that the request did not run and will not run.
 func (c *call) refuse(reason string, after time.Duration) string {
-	c.relay.opts.Headers.Refuse(c.w.Header(), after)
-	c.answer(http.StatusServiceUnavailable, reason)
+	c.relay.opts.Headers.SetRetryAfter(c.w.Header(), after)
+	c.writeStatus(http.StatusServiceUnavailable, reason)
 	return outcomeRefused
 }
 
-// fail answers that it isn't known whether the request ran.
+// fail responds that it is unknown whether the request ran.
 func (c *call) fail(status int, reason string) string {
-	c.answer(status, reason)
+	c.writeStatus(status, reason)
 	return outcomeUnknown
 }
 
-// reject answers that the request itself can't be served.
+// reject responds that the request is invalid or has no route.
 func (c *call) reject(status int, reason string) string {
 	if status != http.StatusNotFound {
-		c.w.Header().Set("Connection", "close") // what follows on the connection can't be trusted
+		c.w.Header().Set("Connection", "close") // the following bytes may not be a request
 	}
-	c.answer(status, reason)
+	c.writeStatus(status, reason)
 	return outcomeRejected
 }
 
-// answer writes an answer of the system's own.
-func (c *call) answer(status int, reason string) {
+// writeStatus writes a response with the status, and the reason as its body.
+func (c *call) writeStatus(status int, reason string) {
 	h := c.w.Header()
-	c.relay.opts.Headers.Echo(h, c.said.ID)
+	c.relay.opts.Headers.SetRequestID(h, c.headers.ID)
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	text := reason + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
 	c.w.WriteHeader(status)
-	_, _ = io.WriteString(c.w, text) // the caller has gone if it fails
-	c.log(reason, status)
+	_, _ = io.WriteString(c.w, text) // fails only if the caller disconnected
+	c.logEnd(reason, status)
 }
 
-// abort breaks the answer off, so that it can't look complete.
+// abort closes the connection, so that the caller cannot take the response for complete.
 func (c *call) abort(reason string) {
-	c.log(reason, 0)
-	c.relay.opts.Metrics.Ended(outcomeBroken, time.Since(c.arrived))
+	c.logEnd(reason, 0)
+	c.relay.opts.Metrics.ObserveRequest(outcomeBroken, time.Since(c.arrived))
 	panic(http.ErrAbortHandler)
 }
 
-// The reasons of ends that are no failure.
+// The end reasons that are not failures.
 const (
-	reasonAnswered = "answered" // the server's whole answer went out
-	reasonLeft     = "caller_left"
+	reasonAnswered   = "answered" // the server's whole response was sent
+	reasonCallerLeft = "caller_left"
 )
 
-// wentWell says whether an end is no failure: its line explains nothing, and may
-// be left out first where lines have to be.
-func wentWell(reason string) bool { return reason == reasonAnswered || reason == reasonLeft }
+// isNormalEnd reports whether the end reason is not a failure. The log lines of such
+// requests have the info level, so that they are dropped first if logs are reduced.
+func isNormalEnd(reason string) bool { return reason == reasonAnswered || reason == reasonCallerLeft }
 
-// log writes the one line for the request's end.
-func (c *call) log(reason string, status int) {
+// logEnd writes the log line for the request's end, one for each request.
+func (c *call) logEnd(reason string, status int) {
 	f := logrus.Fields{
-		"request":  c.said.ID,
+		"request":  c.headers.ID,
 		"reason":   reason,
 		"status":   status,
 		"attempts": c.attempts,
-		"may_run":  c.ran,
+		"may_run":  c.mayHaveRun,
 		"ms":       time.Since(c.arrived).Milliseconds(),
-		"config":   c.version,
+		"config":   c.configVersion,
 	}
 	if c.route != nil {
 		f["route"] = c.route.Name
 		f["target"] = c.target
 	}
-	if c.lastAnswer.Leaving {
-		f["server"], f["server_leaving"] = c.lastAnswerBy, true
+	if c.lastResponse.Leaving {
+		f["server"], f["server_leaving"] = c.lastResponseServer, true
 	}
-	if c.stream.begun {
+	if c.stream.started {
 		f["events"] = c.stream.events
-		f["last_event"] = c.stream.last
+		f["last_event"] = c.stream.lastID
 		f["max_gap_ms"] = c.stream.maxGap.Milliseconds()
-		c.relay.opts.Metrics.Gap(c.stream.maxGap)
+		c.relay.opts.Metrics.ObserveStreamGap(c.stream.maxGap)
 	}
 	if !c.firstByte.IsZero() {
 		f["first_byte_ms"] = c.firstByte.Sub(c.arrived).Milliseconds()
 	}
 	level := logrus.WarnLevel
-	if wentWell(reason) {
+	if isNormalEnd(reason) {
 		level = logrus.InfoLevel
 	}
 	c.relay.opts.Log.WithFields(f).Log(level, "request ended")
 }
 
-// readBody reads the caller's whole body, since an attempt that failed may have
-// to be sent again. It returns the status and the reason of a refusal, or 0.
+// readBody reads the caller's whole body, since a retry may have to send it again. On
+// failure it returns the status and the reason to reject the request with, else 0.
 func (c *call) readBody(l topology.Limits) (int, string) {
 	if c.req.Body == nil || c.req.ContentLength == 0 {
 		return 0, ""
@@ -299,12 +303,12 @@
 	}
 	rc := http.NewResponseController(c.w)
 	if l.IdleTimeout > 0 {
-		_ = rc.SetReadDeadline(time.Now().Add(l.IdleTimeout)) // net/http's own connections support it
+		_ = rc.SetReadDeadline(time.Now().Add(l.IdleTimeout)) // always supported by net/http connections
 		defer func() { _ = rc.SetReadDeadline(time.Time{}) }()
 	}
 	limit := l.BodyBytes
 	if limit <= 0 {
-		limit = defaultBodyBytes
+		limit = defaultMaxBodyBytes
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.req.Body, limit))
 	c.body = body
@@ -321,18 +325,19 @@
 	return http.StatusBadRequest, "body_broken"
 }
 
-// defaultBodyBytes bounds a body where the configuration doesn't.
-const defaultBodyBytes = 4 << 20
+// defaultMaxBodyBytes is the body size limit if the configuration sets none.
+const defaultMaxBodyBytes = 4 << 20
 
-// attemptFailed tells the scheduler how an attempt failed; a decision follows.
-func (c *call) attemptFailed(f decide.Failure) {
-	c.ran = c.ran || f.Effect != infra.EffectNone
-	f.Tokens = c.tokens()
-	c.relay.desk.failed(c, f)
+// reportFailure tells the scheduler how an attempt failed. The scheduler then sends a
+// decision.
+func (c *call) reportFailure(f decide.Failure) {
+	c.mayHaveRun = c.mayHaveRun || f.Effect != infra.EffectNone
+	f.Tokens = c.tokensSent()
+	c.relay.dispatcher.attemptFailed(c, f)
 }
 
-// tokens returns how many tokens of the answer the caller has.
-func (c *call) tokens() int {
+// tokensSent returns how many output tokens were sent to the caller.
+func (c *call) tokensSent() int {
 	if c.service.Engine == nil {
 		return 0
 	}
--- a/relay/desk.go
+++ b/relay/desk.go
@@ -13,67 +13,66 @@
 	"greengageferry/residency"
 )
 
-// decisionsKept is how many decisions one call may have unread: a queued one
-// and the one that ends the wait, with room to spare.
-const decisionsKept = 4
+// decisionBuffer is the capacity of a call's decision channel. At most one decision is
+// outstanding at a time; the rest is reserve.
+const decisionBuffer = 4
 
-// tickEvery is how often time passes for requests that wait: fine enough that a
-// refusal for a deadline comes at once beside a goal of hundreds of
-// milliseconds, and no timer runs while nothing waits.
-const tickEvery = 25 * time.Millisecond
+// tickInterval is how often the scheduler checks the deadlines of queued requests. The
+// delay of a refusal is small against latency goals of hundreds of milliseconds. No
+// timer runs while the queue is empty.
+const tickInterval = 25 * time.Millisecond
 
-// desk owns the scheduler. Whoever has something to tell it steps it under the
-// lock and hands each decision to the call that it is about. A lock and not a
-// duty with a ring: a request's arrival costs no switch to another goroutine,
-// and nothing waits for I/O under it.
-type desk struct {
-	mu        sync.Mutex
-	scheduler *decide.Scheduler
-	calls     map[string]*call
-	asked     map[string]residency.Asked
-	inFlight  map[string]int // by server
-	ticking   bool
-	log       logrus.FieldLogger
-	metrics   Metrics
-	wanted    chan struct{}
+// dispatcher owns the scheduler. Each method passes an event to the scheduler under the
+// lock and delivers the resulting decisions to their calls. A lock is used instead of a
+// goroutine with a queue, so that a request's arrival costs no goroutine switch. No I/O
+// is waited for under the lock.
+type dispatcher struct {
+	mu         sync.Mutex
+	scheduler  *decide.Scheduler
+	calls      map[string]*call           // unfinished ones, by id
+	arrivals   map[string]residency.Asked // requests and work since the last call of demand, by target
+	inFlight   map[string]int             // dispatched calls, by server id
+	ticking    bool                       // a tick is scheduled
+	log        logrus.FieldLogger
+	metrics    Metrics
+	syncNeeded chan struct{}
 }
 
-func newDesk(rng *rand.Rand, log logrus.FieldLogger, m Metrics) *desk {
-	return &desk{
-		scheduler: decide.NewScheduler(rng),
-		calls:     map[string]*call{},
-		asked:     map[string]residency.Asked{},
-		inFlight:  map[string]int{},
-		log:       log,
-		metrics:   m,
-		wanted:    make(chan struct{}, 1),
+func newDispatcher(rng *rand.Rand, log logrus.FieldLogger, m Metrics) *dispatcher {
+	return &dispatcher{
+		scheduler:  decide.NewScheduler(rng),
+		calls:      map[string]*call{},
+		arrivals:   map[string]residency.Asked{},
+		inFlight:   map[string]int{},
+		log:        log,
+		metrics:    m,
+		syncNeeded: make(chan struct{}, 1),
 	}
 }
 
-func (d *desk) setTable(t *decide.Table) {
+func (d *dispatcher) setTable(t *decide.Table) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(d.scheduler.SetTable(time.Now(), t))
+	d.deliver(d.scheduler.SetTable(time.Now(), t))
 }
 
-func (d *desk) reported(server string, load residency.Load, age time.Duration) {
+func (d *dispatcher) updateRemoteLoad(server string, load residency.Load, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(d.scheduler.Reported(time.Now(), server, infra.Load{
+	d.deliver(d.scheduler.Reported(time.Now(), server, infra.Load{
 		Running:      load.InFlight + d.inFlight[server],
 		UnreadTokens: load.Unread + d.scheduler.Unread(server),
 		Contending:   load.Contending,
 	}, age))
 }
 
-// spread divides what is wanted of targets among the servers that serve them.
-func (d *desk) spread(wanted map[string]float64) map[string]float64 {
+func (d *dispatcher) spread(demand map[string]float64) map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Spread(wanted)
+	return d.scheduler.Spread(demand)
 }
 
-func (d *desk) loads() map[string]residency.Load {
+func (d *dispatcher) loads() map[string]residency.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := make(map[string]residency.Load, len(d.inFlight))
@@ -87,14 +86,14 @@
 	return out
 }
 
-func (d *desk) demand() map[string]residency.Asked {
+func (d *dispatcher) demand() map[string]residency.Asked {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	out := d.asked
-	d.asked = map[string]residency.Asked{}
+	out := d.arrivals
+	d.arrivals = map[string]residency.Asked{}
 	for _, c := range d.calls {
 		a := out[c.target]
-		if c.at != "" {
+		if c.serverID != "" {
 			a.InFlight++
 		} else {
 			a.Waiting++
@@ -104,105 +103,108 @@
 	return out
 }
 
-// arrive tells the scheduler of a call.
-func (d *desk) arrive(c *call, r decide.Request) {
+// submit passes a new call to the scheduler.
+func (d *dispatcher) submit(c *call, r decide.Request) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	a := d.asked[c.target]
+	a := d.arrivals[c.target]
 	a.Requests++
 	a.Work += d.scheduler.Work(&r)
-	d.asked[c.target] = a
+	d.arrivals[c.target] = a
 	d.calls[c.id] = c
-	d.carryOut(d.scheduler.Arrive(c.arrived, r))
+	d.deliver(d.scheduler.Arrive(c.arrived, r))
 }
 
-// began tells the scheduler that the first byte of the call's stream has come.
-func (d *desk) began(c *call) {
+// streamStarted tells the scheduler that the first byte of the call's stream arrived.
+func (d *dispatcher) streamStarted(c *call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(d.scheduler.Began(time.Now(), c.id, c.at))
+	d.deliver(d.scheduler.Began(time.Now(), c.id, c.serverID))
 }
 
-// failed tells the scheduler that the call's attempt failed; a decision follows.
-func (d *desk) failed(c *call, f decide.Failure) {
+// attemptFailed tells the scheduler that the call's attempt failed. A decision follows.
+func (d *dispatcher) attemptFailed(c *call, f decide.Failure) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	server := c.at
-	d.leaveServer(c)
-	d.carryOut(d.scheduler.Failed(time.Now(), c.id, server, f))
+	server := c.serverID
+	d.releaseServer(c)
+	d.deliver(d.scheduler.Failed(time.Now(), c.id, server, f))
 }
 
-// ended tells the scheduler that the call is over.
-func (d *desk) ended(c *call, o decide.Outcome) {
+// completed tells the scheduler that the call's response is complete.
+func (d *dispatcher) completed(c *call, o decide.Outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.calls, c.id)
-	server := c.at
-	d.leaveServer(c)
-	d.carryOut(d.scheduler.Ended(time.Now(), c.id, server, o))
+	server := c.serverID
+	d.releaseServer(c)
+	d.deliver(d.scheduler.Ended(time.Now(), c.id, server, o))
 }
 
-// left tells the scheduler that the call's caller has gone, or its time is up.
-func (d *desk) left(c *call) {
+// abandon tells the scheduler that the call ended without a complete response: its
+// caller disconnected, its deadline passed or its response broke off.
+func (d *dispatcher) abandon(c *call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.calls, c.id)
-	d.leaveServer(c)
-	d.carryOut(d.scheduler.Left(time.Now(), c.id))
+	d.releaseServer(c)
+	d.deliver(d.scheduler.Left(time.Now(), c.id))
 }
 
-// drain refuses what waits and whatever arrives from now on.
-func (d *desk) drain() {
+// refuseWaiting refuses all queued calls and all that arrive from now on.
+func (d *dispatcher) refuseWaiting() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(d.scheduler.Drain(time.Now()))
+	d.deliver(d.scheduler.Drain(time.Now()))
 }
 
-// leaveServer notes that the call has no attempt any more. The lock is held.
-func (d *desk) leaveServer(c *call) {
-	if c.at != "" {
-		d.inFlight[c.at]--
-		c.at = ""
+// releaseServer records that the call's attempt has ended. The lock is held.
+func (d *dispatcher) releaseServer(c *call) {
+	if c.serverID != "" {
+		d.inFlight[c.serverID]--
+		c.serverID = ""
 	}
 }
 
-func (d *desk) tick() {
+func (d *dispatcher) tick() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ticking = false
-	d.carryOut(d.scheduler.Tick(time.Now()))
+	d.deliver(d.scheduler.Tick(time.Now()))
 }
 
-// carryOut hands each decision to its call. The lock is held.
-func (d *desk) carryOut(decisions []decide.Decision) {
+// deliver sends each decision to its call, and schedules a tick while requests are
+// queued. The lock is held.
+func (d *dispatcher) deliver(decisions []decide.Decision) {
 	for _, dec := range decisions {
 		c := d.calls[dec.Request]
-		d.note(c, dec)
+		d.logDecision(c, dec)
 		if c == nil {
 			continue
 		}
 		switch dec.Action {
 		case decide.ActionDispatch:
-			c.at = dec.Server.ID
-			d.inFlight[c.at]++
+			c.serverID = dec.Server.ID
+			d.inFlight[c.serverID]++
 		case decide.ActionRefuse:
 			delete(d.calls, dec.Request)
 		case decide.ActionQueue:
-			d.want()
+			d.signalSync()
 			continue
 		}
-		c.decisions <- dec // has room: one is outstanding at a time
+		c.decisions <- dec // does not block: at most one is outstanding
 	}
 	if !d.ticking && d.scheduler.Queued() > 0 {
 		d.ticking = true
-		time.AfterFunc(tickEvery, d.tick)
+		time.AfterFunc(tickInterval, d.tick)
 	}
 }
 
-func (d *desk) want() {
+// signalSync sends a signal on syncNeeded.
+func (d *dispatcher) signalSync() {
 	select {
-	case d.wanted <- struct{}{}:
-	default: // somebody is about to look anyway
+	case d.syncNeeded <- struct{}{}:
+	default: // a signal is already pending
 	}
 }
 
@@ -212,10 +214,10 @@
 	decide.ActionRefuse:   "refuse",
 }
 
-// note writes the one line for a decision, with its inputs and its reason.
-func (d *desk) note(c *call, dec decide.Decision) {
+// logDecision counts a decision and writes its log line, with its reason and inputs.
+func (d *dispatcher) logDecision(c *call, dec decide.Decision) {
 	action := actionNames[dec.Action]
-	d.metrics.Decided(action, string(dec.Reason))
+	d.metrics.CountDecision(action, string(dec.Reason))
 	f := logrus.Fields{
 		"action":     action,
 		"reason":     string(dec.Reason),
@@ -225,9 +227,9 @@
 		"service_ms": dec.Inputs.Service.Milliseconds(),
 	}
 	if c != nil {
-		f["request"] = c.said.ID
+		f["request"] = c.headers.ID
 		f["target"] = c.target
-		f["config"] = c.version
+		f["config"] = c.configVersion
 	}
 	switch dec.Action {
 	case decide.ActionDispatch:
@@ -238,7 +240,7 @@
 		f["load_age_ms"] = dec.Inputs.LoadAge.Milliseconds()
 		if dec.Inputs.Limit.Named {
 			f["limit_per_s"], f["granted"] = dec.Inputs.Limit.PerSecond, dec.Inputs.Granted
-			d.metrics.SentLimited()
+			d.metrics.CountRateLimitedAttempt()
 		}
 		if dec.Inputs.Contending > 0 {
 			f["contending"] = dec.Inputs.Contending
--- a/relay/ratelimit.go
+++ b/relay/ratelimit.go
@@ -8,38 +8,39 @@
 	"greengageferry/decide"
 )
 
-// answered takes in what a server's answer, to a request that was sent at a time,
-// says of the server itself.
-func (d *desk) answered(c *call, server string, sent time.Time, status int, said Answer) {
-	if said.NoticeProblem != nil {
-		d.log.WithFields(logrus.Fields{"server": server, "request": c.said.ID, "error": said.NoticeProblem}).Warn("server's answer not readable")
+// handleResponse applies the rate limit in a server's response. The request was sent
+// at the time sent.
+func (d *dispatcher) handleResponse(c *call, server string, sent time.Time, status int, headers ResponseHeaders) {
+	if headers.NoticeErr != nil {
+		d.log.WithFields(logrus.Fields{"server": server, "request": c.headers.ID, "error": headers.NoticeErr}).Warn("server's answer not readable")
 	}
-	if said.Problem != nil {
-		d.log.WithFields(logrus.Fields{"server": server, "request": c.said.ID, "error": said.Problem}).Warn("server's answer not readable")
+	if headers.RateLimitErr != nil {
+		d.log.WithFields(logrus.Fields{"server": server, "request": c.headers.ID, "error": headers.RateLimitErr}).Warn("server's answer not readable")
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	change, changed := d.scheduler.Answered(time.Now(), server, sent, said.RateLimit, said.Sealed && status/100 == 2)
+	change, changed := d.scheduler.Answered(time.Now(), server, sent, headers.RateLimit, headers.Sealed && status/100 == 2)
 	if changed {
-		d.noteLimit(change, "answer")
-		d.want() // the others hear of it from the lease holder
+		d.logLimitChange(change, "answer")
+		d.signalSync() // the lease holder tells the other instances
 	}
 }
 
-// ratesTold takes in what the lease holder told of rate limits.
-func (d *desk) ratesTold(sent time.Time, told decide.RateShares) {
+// applyRateShares applies the lease holder's allocation of rate limits. The request that
+// it answers was sent at the time sent.
+func (d *dispatcher) applyRateShares(sent time.Time, shares decide.RateShares) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changes, decisions := d.scheduler.RatesTold(time.Now(), sent, told)
+	changes, decisions := d.scheduler.RatesTold(time.Now(), sent, shares)
 	for _, c := range changes {
-		d.noteLimit(c, "lease_holder")
+		d.logLimitChange(c, "lease_holder")
 	}
-	d.carryOut(decisions)
+	d.deliver(decisions)
 }
 
-// noteLimit writes the line for a server's rate limit that changed.
-func (d *desk) noteLimit(c decide.LimitChange, by string) {
+// logLimitChange writes the log line for a changed rate limit. by names its source.
+func (d *dispatcher) logLimitChange(c decide.LimitChange, by string) {
 	f := logrus.Fields{"server": c.Server, "by": by}
 	if c.Now.Named {
 		f["per_second"], f["before"] = c.Now.PerSecond, c.Before.PerSecond
@@ -50,22 +51,22 @@
 	d.log.WithFields(f).Info("server names no rate limit any more")
 }
 
-// rates returns what this instance has to say of rate limits.
-func (d *desk) rates() []decide.RateSaid {
+// rates returns this instance's report on rate limits.
+func (d *dispatcher) rates() []decide.RateSaid {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.scheduler.Rates(time.Now())
 }
 
-// paused returns how many listed servers asked for a pause that has not ended.
-func (d *desk) paused() int {
+// pausedServers returns how many listed servers asked for a pause that has not ended.
+func (d *dispatcher) pausedServers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.scheduler.Paused(time.Now())
 }
 
-// rateLimited returns how many servers name a rate limit.
-func (d *desk) rateLimited() int {
+// rateLimitedServers returns how many servers name a rate limit.
+func (d *dispatcher) rateLimitedServers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.scheduler.RateLimited()
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,10 +1,11 @@
-// Package relay passes callers' HTTP requests through to backend servers, by
-// host and longest path prefix, with opaque bodies in both directions. It shares
-// the scheduler of package decide with the other callers' interface: who waits,
-// is refused, goes where and is tried again is decided there.
+// Package relay is a reverse proxy from callers to backend servers. It routes
+// requests by host and longest path prefix and treats bodies as opaque. A Relay
+// handles each HTTP request as a call; its dispatcher owns a decide.Scheduler,
+// which decides about queueing, refusal, routing and retries. Package caller uses
+// the same scheduler for the API of models.
 //
-// Each request gets one final answer. A status that promises "not run" is given
-// only where no attempt can have run.
+// Each request gets one final response. A status that promises "not run" is sent
+// only if no attempt can have run.
 package relay
 
 import (
@@ -20,166 +21,175 @@
 	"greengageferry/topology"
 )
 
-// Headers translates the headers of a deployment's platform.
+// Headers reads and writes the platform-specific headers of requests and responses.
 type Headers interface {
-	// Request decodes what a caller's request says of itself.
-	Request(h http.Header) Request
-	// Forward writes an attempt's headers over a copy of the caller's.
-	Forward(h http.Header, a Attempt)
-	// Answer decodes what a server's answer says of itself.
-	Answer(status int, h http.Header) Answer
-	// Refuse writes when a refused caller may come back.
-	Refuse(h http.Header, after time.Duration)
-	// Echo names the request in an answer of the system's own.
-	Echo(h http.Header, id string)
+	// RequestHeaders decodes the headers of a caller's request.
+	RequestHeaders(h http.Header) RequestHeaders
+	// SetAttempt sets an attempt's headers in h, a copy of the caller's headers.
+	SetAttempt(h http.Header, a AttemptHeaders)
+	// ResponseHeaders decodes the headers of a server's response.
+	ResponseHeaders(status int, h http.Header) ResponseHeaders
+	// SetRetryAfter sets the time after which a refused caller may retry.
+	SetRetryAfter(h http.Header, after time.Duration)
+	// SetRequestID sets the request's id in a response that no server sent.
+	SetRequestID(h http.Header, id string)
 }
 
-// Request is what a caller's request says of itself. Zero values were not said.
-type Request struct {
-	ID           string // the caller's id of this attempt of its own
+// RequestHeaders holds the decoded headers of a caller's request. A zero value means
+// that the header is absent.
+type RequestHeaders struct {
+	ID           string // chosen by the caller; differs between its own retries
 	Model        string
 	Adapter      string
-	Timeout      time.Duration // how long the caller waits
-	LastEvent    string        // the caller resumes a stream after this event
-	PromptTokens int           // of the prompt
-	MaxTokens    int           // of the answer
-	LengthHint   int           // tokens that the caller expects of the answer
-	SharedPrefix uint64
+	Timeout      time.Duration // how long the caller waits for the response
+	LastEventID  string        // the caller resumes a stream after this event
+	PromptTokens int           // tokens of the prompt
+	MaxTokens    int           // upper bound of output tokens
+	LengthHint   int           // output tokens that the caller expects
+	PrefixHash   uint64        // of the prompt parts that other requests may share
 }
 
-// Attempt is what an attempt's headers say beside the caller's own.
-type Attempt struct {
-	Server    string        // only this server, by id, may run it
-	Left      time.Duration // until the caller or the route gives up
-	Urgency   int           // 1 to 9, 1 goes first; 0: not said
-	LastEvent string        // go on after this event; empty: as the caller said
+// AttemptHeaders holds the headers that an attempt has in addition to the caller's.
+type AttemptHeaders struct {
+	Server      string        // only the server with this id may run the attempt
+	Remaining   time.Duration // time until the request's deadline
+	Urgency     int           // 1 (most urgent) to 9; 0: not set
+	LastEventID string        // resume the stream after this event; empty: keep the caller's header
 }
 
-// Answer is what a server's answer says of itself.
-type Answer struct {
+// ResponseHeaders holds the decoded headers of a server's response.
+type ResponseHeaders struct {
 	RequestID string
 	ServerID  string
-	Sealed    bool // it bears the server's proof that the answer is its own
+	Sealed    bool // has the seal by which a server marks a response as its own
 	NotRun    bool // the server did not run the request
-	Encoded   bool // the body isn't as the server made it
+	Encoded   bool // has a Content-Encoding, so the body was changed on its way
 	RateLimit decide.RateLimit
 	// RetryAfter is how long this instance should send no requests to a server that
-	// refused this one; 0: not said.
-	RetryAfter time.Duration
-	Leaving    bool  // the server will shut down soon and should get no new requests
-	Problem    error // RateLimit could not be decoded; nil: it could
-	// NoticeProblem says that RetryAfter or Leaving could not be decoded; nil: they could.
-	NoticeProblem error
+	// refused this one; 0: not set.
+	RetryAfter   time.Duration
+	Leaving      bool  // the server will shut down soon and should get no new requests
+	RateLimitErr error // set if RateLimit could not be decoded
+	// NoticeErr is set if RetryAfter or Leaving could not be decoded.
+	NoticeErr error
 }
 
-// Options is what a Relay is built from. All fields must be set unless noted otherwise.
+// Options configures a Relay. All fields must be set unless noted otherwise.
 type Options struct {
 	Headers Headers
 	Log     logrus.FieldLogger
 	Metrics Metrics
-	// OnLeaving is called for each answer that says that its server is leaving. It may be nil.
+	// OnLeaving is called for each response that marks its server as leaving. It may be nil.
 	OnLeaving func(topology.ServerStart)
-	Rand      *rand.Rand // owned by the Relay from then on
+	Rand      *rand.Rand // owned by the Relay
 }
 
-// Metrics is told of what happens to requests.
+// Metrics records what happens to requests.
 type Metrics interface {
-	// Ended counts a request's end by its route's name for the class of its end.
-	Ended(outcome string, took time.Duration)
-	// FirstByte observes the time from a request's arrival to its answer's first byte.
-	FirstByte(took time.Duration)
-	// Waited observes the time from a request's arrival to its first attempt.
-	Waited(took time.Duration)
-	// Gap observes the longest pause of a stream.
-	Gap(longest time.Duration)
-	// Decided counts a decision.
-	Decided(action, reason string)
-	// SentLimited counts an attempt at a server that names a rate limit.
-	SentLimited()
+	// ObserveRequest counts a finished request by outcome and observes its duration.
+	ObserveRequest(outcome string, took time.Duration)
+	// ObserveFirstByte observes the time from a request's arrival to its response's first byte.
+	ObserveFirstByte(took time.Duration)
+	// ObserveQueueTime observes the time from a request's arrival to its first attempt.
+	ObserveQueueTime(took time.Duration)
+	// ObserveStreamGap observes the longest pause of a stream.
+	ObserveStreamGap(longest time.Duration)
+	// CountDecision counts a scheduler decision.
+	CountDecision(action, reason string)
+	// CountRateLimitedAttempt counts an attempt at a server that names a rate limit.
+	CountRateLimitedAttempt()
 }
 
-// Relay is the handler of the callers' requests.
+// Relay is the HTTP handler of callers' requests.
 type Relay struct {
-	opts     Options
-	view     atomic.Pointer[topology.View]
-	desk     *desk
-	backends backends
-	draining atomic.Bool
-	inHand   atomic.Int64  // requests
-	serial   atomic.Uint64 // of the last request
+	opts           Options
+	view           atomic.Pointer[topology.View]
+	dispatcher     *dispatcher
+	backends       backends
+	draining       atomic.Bool
+	activeRequests atomic.Int64
+	lastSerial     atomic.Uint64 // serial number of the newest request
 }
 
-// New returns a relay that knows of no deployment yet.
+// New returns a relay that refuses requests until SetView is called.
 func New(o Options) *Relay {
 	r := &Relay{opts: o}
-	r.desk = newDesk(o.Rand, o.Log, o.Metrics)
+	r.dispatcher = newDispatcher(o.Rand, o.Log, o.Metrics)
 	return r
 }
 
-// SetView replaces what is known of the deployment, with the routing table
-// that was built from it.
+// SetView replaces the view of the deployment and the routing table built from it.
 func (r *Relay) SetView(v *topology.View, t *decide.Table) {
 	r.view.Store(v)
-	r.backends.keep(v.Servers)
-	r.desk.setTable(t)
+	r.backends.retainListed(v.Servers)
+	r.dispatcher.setTable(t)
 }
 
-// Reported takes in what the other instances have at a server, as old as age.
-func (r *Relay) Reported(server string, load residency.Load, age time.Duration) {
-	r.desk.reported(server, load, age)
+// UpdateRemoteLoad sets the load that all other instances together put on a server.
+// The figures are as old as age.
+func (r *Relay) UpdateRemoteLoad(server string, load residency.Load, age time.Duration) {
+	r.dispatcher.updateRemoteLoad(server, load, age)
 }
 
-// Loads returns what this instance has in flight, by server.
-func (r *Relay) Loads() map[string]residency.Load { return r.desk.loads() }
+// Loads returns the load of this instance's in-flight requests, by server id.
+func (r *Relay) Loads() map[string]residency.Load { return r.dispatcher.loads() }
 
-// Demand returns what was asked for since the last call, by target.
-func (r *Relay) Demand() map[string]residency.Asked { return r.desk.demand() }
+// Demand returns the demand for each target: requests that arrived since the last
+// call, and those now waiting and in flight.
+func (r *Relay) Demand() map[string]residency.Asked { return r.dispatcher.demand() }
 
-// Spread divides what is wanted of targets among the servers that serve them.
-func (r *Relay) Spread(wanted map[string]float64) map[string]float64 { return r.desk.spread(wanted) }
+// Spread divides the demand for each target equally among the servers that serve the
+// target, and returns the sums by server id.
+func (r *Relay) Spread(demand map[string]float64) map[string]float64 {
+	return r.dispatcher.spread(demand)
+}
 
-// RatesTold takes in what the lease holder told of servers' rate limits, in answer to
-// a word that was sent at a time.
-func (r *Relay) RatesTold(sent time.Time, told decide.RateShares) { r.desk.ratesTold(sent, told) }
+// ApplyRateShares applies the lease holder's allocation of servers' rate limits. The
+// request that it answers was sent at the time sent.
+func (r *Relay) ApplyRateShares(sent time.Time, shares decide.RateShares) {
+	r.dispatcher.applyRateShares(sent, shares)
+}
 
-// Rates returns what this instance knows of servers' rate limits, and what it wants of them.
-func (r *Relay) Rates() []decide.RateSaid { return r.desk.rates() }
+// Rates returns this instance's report to the lease holder on servers' rate
+// limits: the known limits, and how many requests it has for each server.
+func (r *Relay) Rates() []decide.RateSaid { return r.dispatcher.rates() }
 
-// RateLimited returns how many servers name a rate limit.
-func (r *Relay) RateLimited() int { return r.desk.rateLimited() }
+// RateLimitedServers returns how many servers name a rate limit.
+func (r *Relay) RateLimitedServers() int { return r.dispatcher.rateLimitedServers() }
 
-// Paused returns how many listed servers asked for a pause that has not ended.
-func (r *Relay) Paused() int { return r.desk.paused() }
+// PausedServers returns how many listed servers asked for a pause that has not ended.
+func (r *Relay) PausedServers() int { return r.dispatcher.pausedServers() }
 
-// Wanted is readable after a request had to wait for a target without a
-// replica. It bears at most one signal.
-func (r *Relay) Wanted() <-chan struct{} { return r.desk.wanted }
+// SyncNeeded receives a signal when the lease holder should hear from this instance
+// soon: after a request was queued, or a server's rate limit changed. It buffers one
+// signal.
+func (r *Relay) SyncNeeded() <-chan struct{} { return r.dispatcher.syncNeeded }
 
-// Drain has every connection closed after its next answer.
+// Drain closes each caller connection after its next response.
 func (r *Relay) Drain() { r.draining.Store(true) }
 
-// RefuseWaiting refuses what waits for a server, and whatever arrives from now on.
-func (r *Relay) RefuseWaiting() { r.desk.drain() }
+// RefuseWaiting refuses all queued requests and all that arrive from now on.
+func (r *Relay) RefuseWaiting() { r.dispatcher.refuseWaiting() }
 
-// InHand returns how many requests are in hand.
-func (r *Relay) InHand() int { return int(r.inHand.Load()) }
+// ActiveRequests returns how many requests have arrived and not been finished.
+func (r *Relay) ActiveRequests() int { return int(r.activeRequests.Load()) }
 
 // ServeHTTP implements http.Handler.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	arrived := time.Now()
-	r.inHand.Add(1)
-	defer r.inHand.Add(-1)
+	r.activeRequests.Add(1)
+	defer r.activeRequests.Add(-1)
 	c := &call{
 		relay: r, w: w, req: req, arrived: arrived,
-		said:      r.opts.Headers.Request(req.Header),
-		decisions: make(chan decide.Decision, decisionsKept),
+		headers:   r.opts.Headers.RequestHeaders(req.Header),
+		decisions: make(chan decide.Decision, decisionBuffer),
 	}
-	// net/http takes a request that bears both a length and chunks by its chunks
-	// and hides the length. What follows them may be another request smuggled in
-	// what its sender calls the body, so nothing more is read after any chunks.
+	// If a request has both a Content-Length and chunks, net/http reads the chunks and
+	// hides the length. The bytes after the chunks may then be a smuggled request, which
+	// its sender counts as body, so the connection is closed after any chunked request.
 	if r.draining.Load() || len(req.TransferEncoding) > 0 {
 		w.Header().Set("Connection", "close")
 	}
 	outcome := c.serve()
-	r.opts.Metrics.Ended(outcome, time.Since(arrived))
+	r.opts.Metrics.ObserveRequest(outcome, time.Since(arrived))
 }
--- a/relay/relay_test.go
+++ b/relay/relay_test.go
@@ -25,67 +25,69 @@
 
 func TestMain(m *testing.M) { testmain.Run(m) }
 
-// testHeaders are headers of no platform.
+// testHeaders implements Headers with short header names.
 type testHeaders struct{}
 
-func (testHeaders) Request(h http.Header) Request {
+func (testHeaders) RequestHeaders(h http.Header) RequestHeaders {
 	ms, err := strconv.Atoi(h.Get("Timeout"))
 	if err != nil {
-		ms = 0 // not said
+		ms = 0 // not set
 	}
-	return Request{ID: h.Get("Id"), Model: h.Get("Model"), Timeout: time.Duration(ms) * time.Millisecond, LastEvent: h.Get("Last")}
+	return RequestHeaders{ID: h.Get("Id"), Model: h.Get("Model"), Timeout: time.Duration(ms) * time.Millisecond, LastEventID: h.Get("Last")}
 }
 
-func (testHeaders) Forward(h http.Header, a Attempt) {
+func (testHeaders) SetAttempt(h http.Header, a AttemptHeaders) {
 	h.Del("Reserved")
 	h.Set("Server-Id", a.Server)
-	h.Set("Timeout", strconv.Itoa(int(a.Left.Milliseconds())))
-	if a.LastEvent != "" {
-		h.Set("Last", a.LastEvent)
+	h.Set("Timeout", strconv.Itoa(int(a.Remaining.Milliseconds())))
+	if a.LastEventID != "" {
+		h.Set("Last", a.LastEventID)
 	}
 }
 
-func (testHeaders) Answer(status int, h http.Header) Answer {
-	return Answer{RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421, Encoded: h.Get("Content-Encoding") != ""}
+func (testHeaders) ResponseHeaders(status int, h http.Header) ResponseHeaders {
+	return ResponseHeaders{RequestID: h.Get("Id"), Sealed: h.Get("Seal") != "", NotRun: h.Get("Not-Run") != "" || status == 421, Encoded: h.Get("Content-Encoding") != ""}
 }
 
-func (testHeaders) Refuse(h http.Header, after time.Duration) {
+func (testHeaders) SetRetryAfter(h http.Header, after time.Duration) {
 	h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
 }
 
-func (testHeaders) Echo(h http.Header, id string) { h.Set("Id", id) }
+func (testHeaders) SetRequestID(h http.Header, id string) { h.Set("Id", id) }
 
 type testMetrics struct{}
 
-func (testMetrics) Ended(string, time.Duration) {}
-func (testMetrics) FirstByte(time.Duration)     {}
-func (testMetrics) Decided(string, string)      {}
-func (testMetrics) Waited(time.Duration)        {}
-func (testMetrics) Gap(time.Duration)           {}
-func (testMetrics) SentLimited()                {}
+func (testMetrics) ObserveRequest(string, time.Duration) {}
+func (testMetrics) ObserveFirstByte(time.Duration)       {}
+func (testMetrics) CountDecision(string, string)         {}
+func (testMetrics) ObserveQueueTime(time.Duration)       {}
+func (testMetrics) ObserveStreamGap(time.Duration)       {}
+func (testMetrics) CountRateLimitedAttempt()             {}
 
-// backendServer answers by its script and counts what reached it.
+// backendServer responds as its script does, and counts the requests that it receives.
 type backendServer struct {
 	*httptest.Server
 	calls  atomic.Int64
 	script func(w http.ResponseWriter, r *http.Request, body string)
-	left   chan struct{} // a request's connection closed while it ran
+	left   chan struct{} // nothing sends on it or reads it
 }
 
-// sealed begins an answer as a server's own.
-func sealed(w http.ResponseWriter, r *http.Request) {
+// writeSeal sets the headers that show that the server itself sent the response.
+func writeSeal(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set("Id", r.Header.Get("Id"))
 	w.Header().Set("Seal", "s")
 }
 
-func whole(text string) func(http.ResponseWriter, *http.Request, string) {
+// respondWith returns a script that sends a sealed response with the text.
+func respondWith(text string) func(http.ResponseWriter, *http.Request, string) {
 	return func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+		writeSeal(w, r)
 		_, _ = io.WriteString(w, text)
 	}
 }
 
-type bench struct {
+// harness connects a client, a relay and scripted servers.
+type harness struct {
 	t        *testing.T
 	relay    *Relay
 	front    *httptest.Server
@@ -94,13 +96,13 @@
 	client   *http.Client
 }
 
-// newBench starts a relay before as many servers as there are scripts. Routes:
-// /once/ may run once, /safe/ again, /stream/ once as a stream, /resume/ may be
-// resumed; two servers for each request at most.
-func newBench(t *testing.T, scripts ...func(http.ResponseWriter, *http.Request, string)) *bench {
+// newHarness starts a relay and one server for each script. Routes: /once/ is not
+// idempotent, /safe/ is, /stream/ is a non-idempotent stream and /resume/ a resumable
+// one. Each request is sent to at most two servers.
+func newHarness(t *testing.T, scripts ...func(http.ResponseWriter, *http.Request, string)) *harness {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	b := &bench{t: t, relay: New(Options{Headers: testHeaders{}, Log: log, Metrics: testMetrics{}, Rand: rand.New(rand.NewPCG(1, 1))})}
+	b := &harness{t: t, relay: New(Options{Headers: testHeaders{}, Log: log, Metrics: testMetrics{}, Rand: rand.New(rand.NewPCG(1, 1))})}
 	for _, script := range scripts {
 		s := &backendServer{script: script, left: make(chan struct{}, 100)}
 		s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,10 +118,10 @@
 	}
 	choice := []topology.Choice{{Service: "svc", Weight: 1}}
 	for _, r := range []topology.Route{
-		{Name: "once", Prefix: "/once/", Repeat: topology.RunOnce},
-		{Name: "safe", Prefix: "/safe/", Repeat: topology.Idempotent},
-		{Name: "stream", Prefix: "/stream/", Repeat: topology.RunOnce, Stream: true, Goal: time.Second},
-		{Name: "resume", Prefix: "/resume/", Repeat: topology.Resumable, Stream: true, Goal: time.Second},
+		{Name: "once", Prefix: "/once/", Retry: topology.AtMostOnce},
+		{Name: "safe", Prefix: "/safe/", Retry: topology.Idempotent},
+		{Name: "stream", Prefix: "/stream/", Retry: topology.AtMostOnce, Stream: true, Goal: time.Second},
+		{Name: "resume", Prefix: "/resume/", Retry: topology.Resumable, Stream: true, Goal: time.Second},
 	} {
 		r.Host, r.Timeout, r.Attempts, r.Choices = "example.test", 3*time.Second, 2, choice
 		b.routes = append(b.routes, r)
@@ -129,19 +131,19 @@
 	b.client = b.front.Client()
 	t.Cleanup(func() {
 		b.front.Close()
-		b.relay.backends.keep(nil)
+		b.relay.backends.retainListed(nil)
 	})
 	return b
 }
 
-func (b *bench) setView(version int64) {
+func (b *harness) setView(version int64) {
 	v := &topology.View{
 		Config: &topology.Config{
 			Version: version, Routes: b.routes, Services: map[string]topology.Service{"svc": {Name: "svc"}},
 			Limits: topology.Limits{BodyBytes: 1000, IdleTimeout: time.Second},
 		},
-		Index: topology.NewIndex(b.routes),
-		Nodes: map[string]int{"d": 1},
+		Index:             topology.NewIndex(b.routes),
+		InstancesByDomain: map[string]int{"d": 1},
 	}
 	for i, s := range b.backends {
 		v.Servers = append(v.Servers, topology.Server{ID: fmt.Sprint("s", i), Service: "svc", Addr: s.Listener.Addr().String(), Domain: "d", Slots: 4})
@@ -149,7 +151,7 @@
 	b.relay.SetView(v, topology.BuildTable("d", v, decide.RetryPolicy{}))
 }
 
-func (b *bench) request(method, path, body string, headers ...string) *http.Request {
+func (b *harness) request(method, path, body string, headers ...string) *http.Request {
 	req, err := http.NewRequest(method, b.front.URL+path, strings.NewReader(body))
 	require.NoError(b.t, err)
 	req.Host = "example.test"
@@ -160,22 +162,22 @@
 	return req
 }
 
-type answer struct {
+type response struct {
 	status int
 	header http.Header
 	body   string
 	err    error // of reading the body
 }
 
-func (b *bench) do(req *http.Request) answer {
+func (b *harness) do(req *http.Request) response {
 	res, err := b.client.Do(req)
 	require.NoError(b.t, err)
 	defer res.Body.Close()
 	body, err := io.ReadAll(res.Body)
-	return answer{res.StatusCode, res.Header, string(body), err}
+	return response{res.StatusCode, res.Header, string(body), err}
 }
 
-func (b *bench) calls() int64 {
+func (b *harness) calls() int64 {
 	n := int64(0)
 	for _, s := range b.backends {
 		n += s.calls.Load()
@@ -183,15 +185,15 @@
 	return n
 }
 
-func TestPassesRequestAndAnswerUnchanged(t *testing.T) {
+func TestRequestAndResponseRelayedUnchanged(t *testing.T) {
 	var got struct {
 		uri, body, host, custom, reserved, hop, server, agent string
 	}
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request, body string) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request, body string) {
 		got.uri, got.body, got.host = r.RequestURI, body, r.Host
 		got.custom, got.reserved, got.hop = r.Header.Get("Custom"), r.Header.Get("Reserved"), r.Header.Get("Named")
 		got.server, got.agent = r.Header.Get("Server-Id"), r.Header.Get("User-Agent")
-		sealed(w, r)
+		writeSeal(w, r)
 		w.WriteHeader(http.StatusAccepted)
 		_, _ = io.WriteString(w, "answer")
 	})
@@ -206,14 +208,14 @@
 	require.Equal(t, "the body", got.body)
 	require.Equal(t, "example.test", got.host)
 	require.Equal(t, "1", got.custom)
-	require.Empty(t, got.reserved, "only the system may set it")
-	require.Empty(t, got.hop, "it concerns one connection")
+	require.Empty(t, got.reserved, "a reserved header must not come from the caller")
+	require.Empty(t, got.hop, "hop-by-hop headers must not be forwarded")
 	require.Empty(t, got.agent)
 	require.Equal(t, "s0", got.server)
 }
 
-func TestRejectsWhatCannotBeServed(t *testing.T) {
-	b := newBench(t, whole("x"))
+func TestInvalidRequestsRejected(t *testing.T) {
+	b := newHarness(t, respondWith("x"))
 	require.Equal(t, 404, b.do(b.request("GET", "/nowhere/", "")).status)
 	other := b.request("GET", "/safe/", "")
 	other.Host = "other.test"
@@ -227,22 +229,22 @@
 	require.Zero(t, b.calls())
 }
 
-func TestWithoutAConfigurationNothingRanAndTheCallerMayComeBack(t *testing.T) {
-	b := newBench(t, whole("x"))
+func TestNoConfigurationReturnsRetryAfter(t *testing.T) {
+	b := newHarness(t, respondWith("x"))
 	b.relay.view.Store(nil)
 	a := b.do(b.request("GET", "/safe/", ""))
 	require.Equal(t, 503, a.status)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-func TestANewConfigurationHoldsForTheNextRequest(t *testing.T) {
-	b := newBench(t, whole("x"))
+func TestNewConfigurationAppliesToNextRequest(t *testing.T) {
+	b := newHarness(t, respondWith("x"))
 	b.routes = b.routes[:1]
 	b.setView(2)
 	require.Equal(t, 404, b.do(b.request("GET", "/safe/", "")).status)
 }
 
-func TestWhatAServerRefusedGoesToAnother(t *testing.T) {
+func TestRefusedRequestRetriedElsewhere(t *testing.T) {
 	var refused atomic.Bool
 	script := func(w http.ResponseWriter, r *http.Request, body string) {
 		if refused.CompareAndSwap(false, true) {
@@ -250,38 +252,38 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		whole("ok")(w, r, body)
+		respondWith("ok")(w, r, body)
 	}
-	b := newBench(t, script, script)
+	b := newHarness(t, script, script)
 	a := b.do(b.request("POST", "/once/", "body"))
 	require.Equal(t, 200, a.status)
 	require.EqualValues(t, 2, b.calls())
 }
 
-func TestWhatAllServersRefusedIsToldNotRunWithATimeToComeBack(t *testing.T) {
+func TestRefusalByAllServersReturnsRetryAfter(t *testing.T) {
 	full := func(w http.ResponseWriter, _ *http.Request, _ string) {
 		w.Header().Set("Not-Run", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
-	b := newBench(t, full, full)
+	b := newHarness(t, full, full)
 	a := b.do(b.request("POST", "/once/", "body"))
 	require.Equal(t, 503, a.status)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 	require.Empty(t, a.header.Get("Seal"))
-	require.EqualValues(t, 2, b.calls(), "no more servers than the route allows")
+	require.EqualValues(t, 2, b.calls(), "at most the route's number of attempts")
 }
 
-// breaking scripts leave unknown whether the request ran.
-var breaking = map[string]func(http.ResponseWriter, *http.Request, string){
+// unknownOutcomeScripts leave it unknown whether the request ran.
+var unknownOutcomeScripts = map[string]func(http.ResponseWriter, *http.Request, string){
 	"closed": func(http.ResponseWriter, *http.Request, string) { panic(http.ErrAbortHandler) },
 	"cut": func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+		writeSeal(w, r)
 		w.Header().Set("Content-Length", "10")
 		_, _ = io.WriteString(w, "12345")
 		panic(http.ErrAbortHandler)
 	},
 	"of another request": func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+		writeSeal(w, r)
 		w.Header().Set("Id", "another")
 		_, _ = io.WriteString(w, "another's answer")
 	},
@@ -290,20 +292,20 @@
 		_, _ = io.WriteString(w, "forged")
 	},
 	"encoded": func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+		writeSeal(w, r)
 		w.Header().Set("Content-Encoding", "gzip")
 		_, _ = io.WriteString(w, "not the server's body")
 	},
 	"busy without a promise": func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+		writeSeal(w, r)
 		w.WriteHeader(http.StatusServiceUnavailable)
 	},
 }
 
-func TestWhatMayHaveRunIsNeverSentAgainNorCalledNotRun(t *testing.T) {
-	for name, script := range breaking {
+func TestNonIdempotentNotRetriedAfterUnknownOutcome(t *testing.T) {
+	for name, script := range unknownOutcomeScripts {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, script, script)
+			b := newHarness(t, script, script)
 			a := b.do(b.request("POST", "/once/", "body"))
 			require.Equal(t, http.StatusBadGateway, a.status)
 			require.Empty(t, a.header.Get("Seal"))
@@ -312,8 +314,8 @@
 	}
 }
 
-func TestWhatMayRunAgainIsTriedElsewhere(t *testing.T) {
-	for name, script := range breaking {
+func TestIdempotentRetriedAfterUnknownOutcome(t *testing.T) {
+	for name, script := range unknownOutcomeScripts {
 		t.Run(name, func(t *testing.T) {
 			var broken atomic.Bool
 			once := func(w http.ResponseWriter, r *http.Request, body string) {
@@ -321,9 +323,9 @@
 					script(w, r, body)
 					return
 				}
-				whole("ok")(w, r, body)
+				respondWith("ok")(w, r, body)
 			}
-			b := newBench(t, once, once)
+			b := newHarness(t, once, once)
 			a := b.do(b.request("GET", "/safe/", ""))
 			require.Equal(t, 200, a.status)
 			require.Equal(t, "ok", a.body)
@@ -332,25 +334,25 @@
 	}
 }
 
-func TestAServersOwnFailureIsToldAsItWas(t *testing.T) {
+func TestServerErrorRelayed(t *testing.T) {
 	fails := func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+		writeSeal(w, r)
 		w.WriteHeader(http.StatusInternalServerError)
 		_, _ = io.WriteString(w, "why")
 	}
-	b := newBench(t, fails, fails)
+	b := newHarness(t, fails, fails)
 	for _, path := range []string{"/once/", "/safe/"} {
 		a := b.do(b.request("GET", path, ""))
 		require.Equal(t, 500, a.status)
 		require.Equal(t, "why", a.body)
 		require.Equal(t, "s", a.header.Get("Seal"))
 	}
-	require.EqualValues(t, 3, b.calls(), "once, and twice")
+	require.EqualValues(t, 3, b.calls(), "one attempt for /once/, two for /safe/")
 }
 
-func TestAtItsTimesEndARequestIsAnsweredByWhetherItMayHaveRun(t *testing.T) {
+func TestStatusAtDeadline(t *testing.T) {
 	hang := func(_ http.ResponseWriter, r *http.Request, _ string) { <-r.Context().Done() }
-	b := newBench(t, hang)
+	b := newHarness(t, hang)
 	a := b.do(b.request("POST", "/once/", "body", "Timeout", "150"))
 	require.Equal(t, http.StatusGatewayTimeout, a.status)
 	b.backends = nil
@@ -360,20 +362,21 @@
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-// A server whose address takes no connection: the time runs out while dialing.
-func TestWhatReachedNoServerIsToldNotRunAlsoAtItsTimesEnd(t *testing.T) {
-	b := newBench(t, whole("x"))
+// A server that accepts no connection cannot have run the request, also if the deadline
+// passes meanwhile.
+func TestUnreachableServerAnsweredAsNotRun(t *testing.T) {
+	b := newHarness(t, respondWith("x"))
 	b.backends[0].Close()
 	a := b.do(b.request("POST", "/once/", "body", "Timeout", "400"))
 	require.Equal(t, http.StatusServiceUnavailable, a.status)
 	require.NotEmpty(t, a.header.Get("Retry-After"))
 }
 
-func TestTheServerIsToldWhatIsLeftOfTheTime(t *testing.T) {
+func TestServerGetsRemainingTime(t *testing.T) {
 	var left int
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request, body string) {
-		left, _ = strconv.Atoi(r.Header.Get("Timeout")) // the relay's own number
-		whole("")(w, r, body)
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request, body string) {
+		left, _ = strconv.Atoi(r.Header.Get("Timeout")) // written by the relay
+		respondWith("")(w, r, body)
 	})
 	b.do(b.request("POST", "/once/", "", "Timeout", "1000"))
 	require.Positive(t, left)
@@ -382,16 +385,16 @@
 	require.LessOrEqual(t, left, 3000, "the route's timeout")
 }
 
-func TestAServerThatIsGoneCostsAnIdempotentRequestNothing(t *testing.T) {
-	b := newBench(t, whole("a"), whole("b"))
+func TestIdempotentRequestsWithStoppedServer(t *testing.T) {
+	b := newHarness(t, respondWith("a"), respondWith("b"))
 	b.backends[0].Close()
 	for range 6 {
 		require.Equal(t, 200, b.do(b.request("GET", "/safe/", "")).status)
 	}
 }
 
-func TestADrainingRelayClosesConnectionsAndRefusesWhatWaits(t *testing.T) {
-	b := newBench(t, whole("x"))
+func TestDrainThenRefuse(t *testing.T) {
+	b := newHarness(t, respondWith("x"))
 	b.relay.Drain()
 	a := b.do(b.request("GET", "/safe/", ""))
 	require.Equal(t, 200, a.status)
@@ -399,9 +402,10 @@
 	require.Equal(t, 503, b.do(b.request("GET", "/safe/", "")).status)
 }
 
-// Two requests in one body: the second must stay bytes of the first's body.
-func TestASmuggledRequestStaysABody(t *testing.T) {
-	b := newBench(t, whole("x"))
+// Requests with ambiguous framing, with a second request after the end of the chunks. The
+// second must not reach a server as a request of its own.
+func TestSmuggledRequestNotServed(t *testing.T) {
+	b := newHarness(t, respondWith("x"))
 	u, err := url.Parse(b.front.URL)
 	require.NoError(t, err)
 	for _, head := range []string{
@@ -425,17 +429,17 @@
 	}
 }
 
-func TestConnectionsAreKeptForLessThanTheServerKeepsThem(t *testing.T) {
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request, body string) {
+func TestIdleTimeoutShorterThanKeepAlive(t *testing.T) {
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request, body string) {
 		w.Header().Set("Keep-Alive", "timeout=10, max=5")
-		whole("x")(w, r, body)
+		respondWith("x")(w, r, body)
 	})
 	for range 3 {
 		b.do(b.request("GET", "/safe/", ""))
 	}
-	require.Equal(t, 8*time.Second, b.relay.backends.pools["s0"].idle)
+	require.Equal(t, 8*time.Second, b.relay.backends.pools["s0"].idleTimeout)
 	require.Equal(t, 8*time.Second, b.relay.backends.pools["s0"].transport.IdleConnTimeout)
-	require.Zero(t, keepAlive(""))
-	require.Zero(t, keepAlive("timeout=x"))
-	require.Zero(t, keepAlive("timeout=-1"))
+	require.Zero(t, keepAliveTimeout(""))
+	require.Zero(t, keepAliveTimeout("timeout=x"))
+	require.Zero(t, keepAliveTimeout("timeout=-1"))
 }
--- a/relay/silence_test.go
+++ b/relay/silence_test.go
@@ -17,7 +17,7 @@
 	"greengageferry/topology"
 )
 
-// lateBody brings its first event after a time, whoever has given up meanwhile.
+// lateBody returns its first event after a delay, also if its context has ended.
 type lateBody struct {
 	after time.Duration
 	sent  bool
@@ -34,9 +34,9 @@
 
 func (b *lateBody) Close() error { return nil }
 
-// A first event that comes as the watchdog gives its server up: begun with it, the
-// answer broke off at once, and the caller was cut off.
-func TestAStreamWhoseServerWasJustGivenUpIsNotBegun(t *testing.T) {
+// Guards against starting a stream with an event that arrives just after the watchdog has
+// ended the attempt: the caller would receive a truncated response instead of a retry.
+func TestStreamNotStartedAfterWatchdogExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
@@ -44,14 +44,14 @@
 		w := httptest.NewRecorder()
 		c := &call{
 			relay: r, w: w, req: httptest.NewRequest(http.MethodPost, "/resume/x", nil), arrived: time.Now(),
-			route: &topology.Route{Stream: true, Repeat: topology.Resumable, Attempts: 2}, service: &topology.Service{},
-			deadline: time.Now().Add(time.Minute), decisions: make(chan decide.Decision, decisionsKept),
+			route: &topology.Route{Stream: true, Retry: topology.Resumable, Attempts: 2}, service: &topology.Service{},
+			deadline: time.Now().Add(time.Minute), decisions: make(chan decide.Decision, decisionBuffer),
 		}
 		watch := stall.Watch(t.Context(), time.Second, true)
 		defer watch.Stop()
 		res := &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, Body: &lateBody{after: time.Second + time.Millisecond}}
-		require.Empty(t, c.passStream(watch.Context(), decide.Decision{}, res, time.Now(), watch), "the scheduler decides again")
-		require.False(t, c.stream.begun)
+		require.Empty(t, c.relayStream(watch.Context(), decide.Decision{}, res, time.Now(), watch), "a new decision must follow")
+		require.False(t, c.stream.started)
 		require.Zero(t, w.Body.Len())
 		require.False(t, w.Flushed)
 	})
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -13,52 +13,51 @@
 	"greengageferry/topology"
 )
 
-// streamSent is what of a stream went out to the caller.
-type streamSent struct {
-	begun  bool
-	events int
-	last   string        // id of the last whole event
-	at     time.Time     // when data last went out
-	maxGap time.Duration // the longest pause between two sends
+// streamState describes what of a stream was sent to the caller, over all attempts.
+type streamState struct {
+	started   bool
+	events    int
+	lastID    string        // id of the last complete event that has one
+	lastWrite time.Time     // when data was last sent
+	maxGap    time.Duration // the longest time between two writes
 }
 
-// streamBuffer holds some events: one read takes what has arrived.
-const streamBuffer = 8 << 10
+// streamBufferSize is the size of a read buffer, in bytes: a few events.
+const streamBufferSize = 8 << 10
 
-var streamBuffers = sync.Pool{New: func() any { b := make([]byte, streamBuffer); return &b }}
+var streamBuffers = sync.Pool{New: func() any { b := make([]byte, streamBufferSize); return &b }}
 
-// passStream passes an event stream on as it arrives. A stream that may be
-// resumed is passed on in whole events, so that another server can go on after
-// the last one.
-func (c *call) passStream(ctx context.Context, d decide.Decision, res *http.Response, sent time.Time, watch *stall.Watchdog) string {
-	whole := c.route.Repeat == topology.Resumable
+// relayStream relays an event stream as it arrives. A resumable stream is sent in whole
+// events only, so that another server can continue after the last one.
+func (c *call) relayStream(ctx context.Context, d decide.Decision, res *http.Response, sent time.Time, watch *stall.Watchdog) string {
+	whole := c.route.Retry == topology.Resumable
 	buf := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(buf)
-	var pending []byte // the beginning of an event that isn't whole yet
+	var pending []byte // the received part of an incomplete event
 	var first time.Time
 	before := c.stream.events
 	flush := http.NewResponseController(c.w)
 	for {
 		n, err := res.Body.Read(*buf)
 		if n > 0 {
-			if watch.Disarm(max(streamSilence, gapsSilent*c.route.MaxGap)) && !c.stream.begun {
-				// A stream that the watchdog has just ended must not be begun: its
-				// caller would see it break off where another server, or an error
-				// that says so, could still answer.
-				return c.noAnswer(ctx, d, context.Cause(ctx))
+			if watch.Disarm(max(minStreamGapTimeout, streamGapFactor*c.route.MaxGap)) && !c.stream.started {
+				// The watchdog has ended the attempt. Starting the stream now would
+				// send the caller a truncated response, where a retry or an error
+				// response is still possible.
+				return c.handleAttemptError(ctx, d, context.Cause(ctx))
 			}
 			if first.IsZero() {
 				first = time.Now()
-				c.relay.desk.began(c)
+				c.relay.dispatcher.streamStarted(c)
 			}
 			watch.Arm()
 			data := (*buf)[:n]
 			if whole {
-				data, pending = wholeEvents(append(pending, data...))
+				data, pending = splitWholeEvents(append(pending, data...))
 			}
 			if werr := c.sendEvents(res, data, flush); werr != nil {
-				c.relay.desk.left(c)
-				c.log("caller_left", res.StatusCode)
+				c.relay.dispatcher.abandon(c)
+				c.logEnd("caller_left", res.StatusCode)
 				return outcomeCallerLeft
 			}
 		}
@@ -66,11 +65,11 @@
 			break
 		}
 		if err != nil {
-			return c.streamBroke(ctx, d, res, err)
+			return c.handleStreamError(ctx, d, res, err)
 		}
 	}
-	if !c.stream.begun { // a stream without an event is whole, too
-		c.beginStream(res)
+	if !c.stream.started { // a stream without events is complete, too
+		c.startStream(res)
 	}
 	events := c.stream.events - before
 	stride := 1
@@ -81,51 +80,52 @@
 	if !first.IsZero() {
 		o.FirstToken = first.Sub(sent)
 	}
-	c.relay.desk.ended(c, o)
-	c.log(reasonAnswered, res.StatusCode)
+	c.relay.dispatcher.completed(c, o)
+	c.logEnd(reasonAnswered, res.StatusCode)
 	return outcomeDone
 }
 
-// streamBroke deals with a stream that ended before its end.
-func (c *call) streamBroke(ctx context.Context, d decide.Decision, res *http.Response, err error) string {
-	if !c.stream.begun || c.route.Repeat == topology.Resumable {
-		return c.noAnswer(ctx, d, err)
+// handleStreamError handles a stream that ended prematurely.
+func (c *call) handleStreamError(ctx context.Context, d decide.Decision, res *http.Response, err error) string {
+	if !c.stream.started || c.route.Retry == topology.Resumable {
+		return c.handleAttemptError(ctx, d, err)
 	}
-	c.ran = true
-	c.relay.desk.left(c)
+	c.mayHaveRun = true
+	c.relay.dispatcher.abandon(c)
 	if c.req.Context().Err() != nil {
-		c.log("caller_left", res.StatusCode)
+		c.logEnd("caller_left", res.StatusCode)
 		return outcomeCallerLeft
 	}
-	c.logAttempt(d, err.Error(), res.StatusCode)
+	c.logFailedAttempt(d, err.Error(), res.StatusCode)
 	c.abort("stream_broke")
 	return outcomeBroken
 }
 
-func (c *call) beginStream(res *http.Response) {
-	c.stream.begun = true
+// startStream sends the stream's status and headers.
+func (c *call) startStream(res *http.Response) {
+	c.stream.started = true
 	c.firstByte = time.Now()
-	c.relay.opts.Metrics.FirstByte(time.Since(c.arrived))
+	c.relay.opts.Metrics.ObserveFirstByte(time.Since(c.arrived))
 	c.writeHead(res.StatusCode, res.Header)
 }
 
-// sendEvents sends data of the stream to the caller at once.
+// sendEvents sends data of the stream to the caller and flushes it.
 func (c *call) sendEvents(res *http.Response, data []byte, flush *http.ResponseController) error {
 	if len(data) == 0 {
 		return nil
 	}
-	if !c.stream.begun {
-		c.beginStream(res)
+	if !c.stream.started {
+		c.startStream(res)
 	}
-	c.stream.events += bytes.Count(data, eventEnd)
+	c.stream.events += bytes.Count(data, eventTerminator)
 	now := time.Now()
-	if !c.stream.at.IsZero() {
-		c.stream.maxGap = max(c.stream.maxGap, now.Sub(c.stream.at))
+	if !c.stream.lastWrite.IsZero() {
+		c.stream.maxGap = max(c.stream.maxGap, now.Sub(c.stream.lastWrite))
 	}
-	c.stream.at = now
-	if c.route.Repeat == topology.Resumable {
+	c.stream.lastWrite = now
+	if c.route.Retry == topology.Resumable {
 		if id := lastEventID(data); id != "" {
-			c.stream.last = id
+			c.stream.lastID = id
 		}
 	}
 	if _, err := c.w.Write(data); err != nil {
@@ -134,33 +134,34 @@
 	return flush.Flush()
 }
 
-// eventEnd ends an event of a stream.
-var eventEnd = []byte("\n\n")
+// eventTerminator is the blank line that ends an event of a stream.
+var eventTerminator = []byte("\n\n")
 
-// wholeEvents splits data after its last whole event. The rest is a copy.
-func wholeEvents(data []byte) (whole, rest []byte) {
-	at := bytes.LastIndex(data, eventEnd)
+// splitWholeEvents splits data after its last complete event. The rest is a copy.
+func splitWholeEvents(data []byte) (whole, rest []byte) {
+	at := bytes.LastIndex(data, eventTerminator)
 	if at < 0 {
 		return nil, data
 	}
-	at += len(eventEnd)
+	at += len(eventTerminator)
 	return data[:at], bytes.Clone(data[at:])
 }
 
-// lastEventID returns the id of the last event in data that bears one.
+// lastEventID returns the id of the last event in data that has one, or "".
 func lastEventID(data []byte) string {
-	at := bytes.LastIndex(data, idLine)
+	at := bytes.LastIndex(data, idFieldPrefix)
 	if at < 0 {
-		if !bytes.HasPrefix(data, idLine[1:]) {
+		if !bytes.HasPrefix(data, idFieldPrefix[1:]) {
 			return ""
 		}
 		at = -1
 	}
-	id := data[at+len(idLine):]
+	id := data[at+len(idFieldPrefix):]
 	if end := bytes.IndexByte(id, '\n'); end >= 0 {
 		id = id[:end]
 	}
 	return string(bytes.TrimSpace(id))
 }
 
-var idLine = []byte("\nid:")
+// idFieldPrefix begins the line of an event's id, with the line break before it.
+var idFieldPrefix = []byte("\nid:")
--- a/relay/stream_test.go
+++ b/relay/stream_test.go
@@ -16,13 +16,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// event writes one event of a stream.
-func event(w http.ResponseWriter, n int) {
+// writeEvent writes and flushes one event of a stream.
+func writeEvent(w http.ResponseWriter, n int) {
 	fmt.Fprintf(w, "id: %d\ndata: event %d\n\n", n, n)
 	w.(http.Flusher).Flush()
 }
 
-func streamOf(from, to int) string {
+// streamBody returns the events with the given numbers.
+func streamBody(from, to int) string {
 	var sb strings.Builder
 	for n := from; n <= to; n++ {
 		fmt.Fprintf(&sb, "id: %d\ndata: event %d\n\n", n, n)
@@ -30,18 +31,18 @@
 	return sb.String()
 }
 
-// breakingStream breaks off in the middle of the third event on its first call,
-// and goes on after the caller's last event on the others.
-func breakingStream(calls *atomic.Int64, lasts *sync.Map) func(http.ResponseWriter, *http.Request, string) {
+// interruptedStream returns a script that aborts its first response in the middle of the
+// third event, and resumes after the last event id on further calls.
+func interruptedStream(calls *atomic.Int64, lasts *sync.Map) func(http.ResponseWriter, *http.Request, string) {
 	return func(w http.ResponseWriter, r *http.Request, _ string) {
 		n := calls.Add(1)
 		lasts.Store(n, r.Header.Get("Last"))
-		sealed(w, r)
+		writeSeal(w, r)
 		w.Header().Set("Seal", fmt.Sprint("seal", n))
 		w.Header().Set("Content-Type", "text/event-stream")
 		from := 1
 		if last := r.Header.Get("Last"); last != "" {
-			from, _ = strconv.Atoi(last) // the test's own numbers
+			from, _ = strconv.Atoi(last) // written by writeEvent
 			from++
 		}
 		for e := from; e <= 5; e++ {
@@ -50,40 +51,40 @@
 				w.(http.Flusher).Flush()
 				panic(http.ErrAbortHandler)
 			}
-			event(w, e)
+			writeEvent(w, e)
 		}
 	}
 }
 
-func TestAResumableStreamGoesOnAtAnotherServerAfterItsLastWholeEvent(t *testing.T) {
+func TestResumableStreamContinuesAfterLastWholeEvent(t *testing.T) {
 	var calls atomic.Int64
 	var lasts sync.Map
-	script := breakingStream(&calls, &lasts)
-	b := newBench(t, script, script)
+	script := interruptedStream(&calls, &lasts)
+	b := newHarness(t, script, script)
 	a := b.do(b.request("POST", "/resume/", "prompt"))
 	require.NoError(t, a.err)
-	require.Equal(t, streamOf(1, 5), a.body)
-	require.Equal(t, "seal1", a.header.Get("Seal"), "the headers of the first server")
+	require.Equal(t, streamBody(1, 5), a.body)
+	require.Equal(t, "seal1", a.header.Get("Seal"), "the first server's headers")
 	last, _ := lasts.Load(int64(2))
 	require.Equal(t, "2", last)
 }
 
-func TestAStreamThatMayRunOnceBreaksOffVisibly(t *testing.T) {
+func TestNonResumableStreamAbortsConnection(t *testing.T) {
 	var calls atomic.Int64
 	var lasts sync.Map
-	script := breakingStream(&calls, &lasts)
-	b := newBench(t, script, script)
+	script := interruptedStream(&calls, &lasts)
+	b := newHarness(t, script, script)
 	a := b.do(b.request("POST", "/stream/", "prompt"))
-	require.Error(t, a.err, "it must not look complete")
+	require.Error(t, a.err, "a truncated stream must not look complete")
 	require.EqualValues(t, 1, calls.Load())
 }
 
-func TestEventsAreSentOnAsTheyArrive(t *testing.T) {
+func TestEventsRelayedImmediately(t *testing.T) {
 	next := make(chan struct{})
-	b := newBench(t, func(w http.ResponseWriter, r *http.Request, _ string) {
-		sealed(w, r)
+	b := newHarness(t, func(w http.ResponseWriter, r *http.Request, _ string) {
+		writeSeal(w, r)
 		for n := 1; n <= 3; n++ {
-			event(w, n)
+			writeEvent(w, n)
 			<-next
 		}
 	})
@@ -95,14 +96,14 @@
 		for lines.Scan() && lines.Text() != "data: event "+fmt.Sprint(n) {
 		}
 		require.Equal(t, "data: event "+fmt.Sprint(n), lines.Text())
-		next <- struct{}{} // the server goes on only now
+		next <- struct{}{} // lets the server send the next event
 	}
 }
 
-func TestACallerThatLeavesFreesItsServer(t *testing.T) {
+func TestCallerDisconnectReleasesServer(t *testing.T) {
 	ended := make(chan struct{})
 	started := make(chan struct{})
-	b := newBench(t, func(_ http.ResponseWriter, r *http.Request, _ string) {
+	b := newHarness(t, func(_ http.ResponseWriter, r *http.Request, _ string) {
 		close(started)
 		<-r.Context().Done()
 		close(ended)
@@ -114,7 +115,7 @@
 	}()
 	_, err := b.client.Do(b.request("POST", "/once/", "body").WithContext(ctx))
 	require.Error(t, err)
-	<-ended // or the test's own time runs out
+	<-ended // fails by the test's timeout
 	require.Eventually(t, func() bool { return len(b.relay.Loads()) == 0 }, 5*time.Second, time.Millisecond)
 }
 
@@ -128,7 +129,7 @@
 		for len(data) > 0 {
 			n := min(size, len(data))
 			var events []byte
-			events, pending = wholeEvents(append(pending, data[:n]...))
+			events, pending = splitWholeEvents(append(pending, data[:n]...))
 			sent = append(sent, events...)
 			data = data[n:]
 		}
--- a/topology/delta.go
+++ b/topology/delta.go
@@ -19,7 +19,7 @@
 }
 
 // deltaOf returns the step from one description of a server to another.
-func deltaOf(old, now *Server) Delta {
+func newDelta(old, now *Server) Delta {
 	d := Delta{ID: now.ID}
 	for _, m := range now.Models {
 		was := old.model(m.Name)
--- a/topology/fleet.go
+++ b/topology/fleet.go
@@ -9,18 +9,18 @@
 // Fleet holds the backend servers as the store's changes tell of them, or
 // another instance's steps. It is not safe for concurrent use.
 type Fleet struct {
-	servers map[string]Server
-	leaving map[string]time.Time // servers whose entry went, and until when they are kept
-	outage  time.Time            // when the store last came back
-	digest  uint64               // of the list as it is
-	steps   []step               // the newest
-	ids     []string             // of the servers, in order; nil: to be listed anew
+	servers          map[string]Server
+	pendingRemoval   map[string]time.Time // servers whose entry went, and until when they are kept
+	storeRecoveredAt time.Time            // when the store last came back
+	digest           uint64               // of the list as it is
+	steps            []step               // the newest
+	ids              []string             // of the servers, in order; nil: to be listed anew
 }
 
 // step is one step of the list, with the digest of the list after it.
 type step struct {
-	delta Delta
-	after uint64
+	delta       Delta
+	digestAfter uint64
 }
 
 const (
@@ -29,33 +29,33 @@
 	// within about two seconds if their servers live. Counted from the store's return and
 	// not from when the entry went: one that leaves meanwhile would be used for two
 	// seconds more, longer than a server that leaves may be.
-	lapsed = 2100 * time.Millisecond
+	entryRestoreWindow = 2100 * time.Millisecond
 	// fleetSteps is how many steps are kept for instances that are behind: some
 	// seconds' worth while every adapter of a large fleet is loaded.
-	fleetSteps = 2048
+	minKeptSteps = 2048
 )
 
 // NewFleet returns a fleet without servers.
 func NewFleet() *Fleet {
-	return &Fleet{servers: map[string]Server{}, leaving: map[string]time.Time{}}
+	return &Fleet{servers: map[string]Server{}, pendingRemoval: map[string]time.Time{}}
 }
 
 // StoreBack is told that the store answers again after it didn't.
-func (f *Fleet) StoreBack(now time.Time) { f.outage = now }
+func (f *Fleet) StoreRecovered(now time.Time) { f.storeRecoveredAt = now }
 
 // Apply takes in changes of entries, and says whether anything but the servers'
 // heartbeats changed.
-func (f *Fleet) Apply(now time.Time, changes []ServerChange) bool {
+func (f *Fleet) ApplyChanges(now time.Time, changes []ServerChange) bool {
 	changed := false
 	for _, c := range changes {
 		if c.ID == "" {
 			continue
 		}
 		if c.Server == nil {
-			changed = f.gone(now, c.ID) || changed
+			changed = f.removeEntry(now, c.ID) || changed
 			continue
 		}
-		delete(f.leaving, c.ID)
+		delete(f.pendingRemoval, c.ID)
 		old, known := f.servers[c.ID]
 		if known && c.Server.Born.Before(old.Born) {
 			continue // an entry of an earlier start that came late
@@ -69,10 +69,10 @@
 		}
 		switch {
 		case !known:
-			f.take(Delta{ID: c.ID, Server: c.Server})
+			f.applyDelta(Delta{ID: c.ID, Server: c.Server})
 			changed = true
 		case !old.Equal(c.Server):
-			f.take(deltaOf(&old, c.Server))
+			f.applyDelta(newDelta(&old, c.Server))
 			changed = true
 		}
 		f.servers[c.ID] = *c.Server
@@ -81,7 +81,7 @@
 }
 
 // take carries out a step and remembers it.
-func (f *Fleet) take(d Delta) {
+func (f *Fleet) applyDelta(d Delta) {
 	old, known := f.servers[d.ID]
 	if known {
 		f.digest -= old.digest()
@@ -89,7 +89,7 @@
 	if !known || d.Gone {
 		f.ids = nil
 	}
-	delete(f.leaving, d.ID)
+	delete(f.pendingRemoval, d.ID)
 	if d.Gone {
 		delete(f.servers, d.ID)
 	} else {
@@ -98,8 +98,8 @@
 		f.digest += next.digest()
 	}
 	f.steps = append(f.steps, step{d, f.digest})
-	if len(f.steps) >= 2*fleetSteps {
-		f.steps = slices.Clone(f.steps[fleetSteps:])
+	if len(f.steps) >= 2*minKeptSteps {
+		f.steps = slices.Clone(f.steps[minKeptSteps:])
 	}
 }
 
@@ -109,12 +109,12 @@
 
 // Since returns the steps from the list with a digest to the list as it is. It
 // returns false where that list isn't among the newest.
-func (f *Fleet) Since(digest uint64) ([]Delta, bool) {
+func (f *Fleet) DeltasSince(digest uint64) ([]Delta, bool) {
 	if digest == f.digest {
 		return nil, true
 	}
 	for n := len(f.steps) - 1; n >= 0; n-- {
-		if f.steps[n].after != digest {
+		if f.steps[n].digestAfter != digest {
 			continue
 		}
 		var out []Delta
@@ -128,10 +128,10 @@
 
 // Follow carries out another instance's steps, and says whether they led to the
 // list with that digest. Where they don't, the list has to be read anew.
-func (f *Fleet) Follow(steps []Delta, digest uint64) bool {
+func (f *Fleet) ApplyDeltas(steps []Delta, digest uint64) bool {
 	for _, d := range steps {
 		if _, known := f.servers[d.ID]; known || d.Server != nil {
-			f.take(d)
+			f.applyDelta(d)
 		}
 	}
 	return f.digest == digest
@@ -143,10 +143,10 @@
 	for _, c := range entries {
 		listed[c.ID] = true
 	}
-	changed := f.Apply(now, entries)
+	changed := f.ApplyChanges(now, entries)
 	for _, id := range slices.Sorted(maps.Keys(f.servers)) {
 		if !listed[id] {
-			changed = f.gone(now, id) || changed
+			changed = f.removeEntry(now, id) || changed
 		}
 	}
 	return changed
@@ -154,24 +154,24 @@
 
 // gone takes a server out whose entry went, later if its entry may only have
 // run out while the store was away.
-func (f *Fleet) gone(now time.Time, id string) bool {
+func (f *Fleet) removeEntry(now time.Time, id string) bool {
 	if _, known := f.servers[id]; !known {
 		return false
 	}
-	if until := f.outage.Add(lapsed); !f.outage.IsZero() && now.Before(until) {
-		f.leaving[id] = until
+	if until := f.storeRecoveredAt.Add(entryRestoreWindow); !f.storeRecoveredAt.IsZero() && now.Before(until) {
+		f.pendingRemoval[id] = until
 		return false
 	}
-	f.take(Delta{ID: id, Gone: true})
+	f.applyDelta(Delta{ID: id, Gone: true})
 	return true
 }
 
 // Expire takes out the servers that were kept long enough.
-func (f *Fleet) Expire(now time.Time) bool {
+func (f *Fleet) RemoveExpired(now time.Time) bool {
 	changed := false
-	for id, until := range f.leaving {
+	for id, until := range f.pendingRemoval {
 		if !now.Before(until) {
-			f.take(Delta{ID: id, Gone: true})
+			f.applyDelta(Delta{ID: id, Gone: true})
 			changed = true
 		}
 	}
--- a/topology/fleet_test.go
+++ b/topology/fleet_test.go
@@ -30,31 +30,31 @@
 
 // TestAFollowerComesToTheSameList: one fleet reads changes, outages and lapses
 // included; another is told only the steps since the list that it has.
-func TestAFollowerComesToTheSameList(t *testing.T) {
+func TestFollowerReachesSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewFleet(), NewFleet()
 		now := time.UnixMilli(1_000_000)
 		for _, f := range []*Fleet{leader, follower} { // both have read the store
-			f.Apply(now, []ServerChange{{ID: "s0", Server: &Server{ID: "s0"}}})
+			f.ApplyChanges(now, []ServerChange{{ID: "s0", Server: &Server{ID: "s0"}}})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			c := ServerChange{ID: fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "server"))}
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
 			case 0: // its entry goes
-				leader.Apply(now, []ServerChange{c})
+				leader.ApplyChanges(now, []ServerChange{c})
 			case 1:
-				leader.StoreBack(now)
+				leader.StoreRecovered(now)
 			case 2:
-				leader.Expire(now)
+				leader.RemoveExpired(now)
 			default:
 				c.Server = drawServer(t, c.ID)
-				leader.Apply(now, []ServerChange{c})
+				leader.ApplyChanges(now, []ServerChange{c})
 			}
 			if rapid.Bool().Draw(t, "told") {
-				steps, ok := leader.Since(follower.Digest())
+				steps, ok := leader.DeltasSince(follower.Digest())
 				require.True(t, ok)
-				require.True(t, follower.Follow(steps, leader.Digest()))
+				require.True(t, follower.ApplyDeltas(steps, leader.Digest()))
 				require.Equal(t, leader.IDs(), follower.IDs())
 				a, b := leader.Servers(), follower.Servers()
 				for n := range a {
@@ -65,26 +65,26 @@
 	})
 }
 
-func TestAListThatIsNotAmongTheNewestIsNotFollowed(t *testing.T) {
+func TestUnknownListNotFollowed(t *testing.T) {
 	leader, other := NewFleet(), NewFleet()
 	now := time.UnixMilli(1_000_000)
-	other.Apply(now, []ServerChange{{ID: "x", Server: &Server{ID: "x"}}})
-	leader.Apply(now, []ServerChange{{ID: "y", Server: &Server{ID: "y"}}})
-	_, ok := leader.Since(other.Digest())
+	other.ApplyChanges(now, []ServerChange{{ID: "x", Server: &Server{ID: "x"}}})
+	leader.ApplyChanges(now, []ServerChange{{ID: "y", Server: &Server{ID: "y"}}})
+	_, ok := leader.DeltasSince(other.Digest())
 	require.False(t, ok)
-	require.False(t, other.Follow([]Delta{{ID: "y", Server: &Server{ID: "y"}}}, leader.Digest()), "its list differs by x")
-	for n := range 3 * fleetSteps {
-		leader.Apply(now, []ServerChange{{ID: "y", Server: &Server{ID: "y", Slots: n + 1}}})
+	require.False(t, other.ApplyDeltas([]Delta{{ID: "y", Server: &Server{ID: "y"}}}, leader.Digest()), "its list differs by x")
+	for n := range 3 * minKeptSteps {
+		leader.ApplyChanges(now, []ServerChange{{ID: "y", Server: &Server{ID: "y", Slots: n + 1}}})
 	}
-	require.Less(t, len(leader.steps), 2*fleetSteps, "what is kept is bounded")
+	require.Less(t, len(leader.steps), 2*minKeptSteps, "what is kept is bounded")
 }
 
-func TestWhatServersHoldIsToldAsADifference(t *testing.T) {
+func TestResidencyOverrideDiffs(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var h HeldHistory
 		var known HeldList
 		h.Add(nil)
-		for range rapid.IntRange(1, 2*heldKept).Draw(t, "lists") {
+		for range rapid.IntRange(1, 2*heldHistorySize).Draw(t, "lists") {
 			var held []Held
 			for n := range rapid.IntRange(0, 4).Draw(t, "held") {
 				held = append(held, Held{Server: fmt.Sprint("s", n%2), Model: fmt.Sprint("m", rapid.IntRange(0, 2).Draw(t, "model")), Dropped: rapid.Bool().Draw(t, "dropped")})
@@ -100,20 +100,20 @@
 			}
 			require.True(t, known.Equal(h.Newest()), "%v, %v", known, h.Newest())
 		}
-		require.LessOrEqual(t, len(h.lists), heldKept)
+		require.LessOrEqual(t, len(h.lists), heldHistorySize)
 	})
 }
 
 // An instance's way to the store heals; right after, a server leaves in order. It
 // must not be taken for one whose entry only ran out meanwhile for longer than
 // that may take.
-func TestAServerThatLeavesAfterAnOutageIsKeptNoLongerThanLapsedOnesAre(t *testing.T) {
+func TestServerRemovedAfterOutageExpiresOnTime(t *testing.T) {
 	f := NewFleet()
 	now := time.UnixMilli(1_000_000)
-	f.Apply(now, []ServerChange{{ID: "s", Server: &Server{ID: "s"}}})
-	f.StoreBack(now)
+	f.ApplyChanges(now, []ServerChange{{ID: "s", Server: &Server{ID: "s"}}})
+	f.StoreRecovered(now)
 	now = now.Add(1400 * time.Millisecond)
-	require.False(t, f.Apply(now, []ServerChange{{ID: "s"}}), "it may only have lapsed")
-	require.True(t, f.Expire(now.Add(700*time.Millisecond)))
+	require.False(t, f.ApplyChanges(now, []ServerChange{{ID: "s"}}), "it may only have lapsed")
+	require.True(t, f.RemoveExpired(now.Add(700*time.Millisecond)))
 	require.Empty(t, f.Servers())
 }
--- a/topology/held.go
+++ b/topology/held.go
@@ -68,7 +68,7 @@
 
 // heldKept is how many lists a HeldHistory keeps: orders change the list some
 // twenty times a second after a start, and instances ask twice a second.
-const heldKept = 64
+const heldHistorySize = 64
 
 // HeldHistory keeps the newest lists, so that an instance is told only how the
 // newest differs from the one that it knows. The zero value is ready. It is not
@@ -85,7 +85,7 @@
 		return
 	}
 	h.lists, h.digests = append(h.lists, l), append(h.digests, digest)
-	if len(h.lists) > heldKept {
+	if len(h.lists) > heldHistorySize {
 		h.lists, h.digests = slices.Clone(h.lists[1:]), slices.Clone(h.digests[1:])
 	}
 }
--- a/topology/leaving_test.go
+++ b/topology/leaving_test.go
@@ -10,11 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-func listedServer(id string, born int64) Server { return Server{ID: id, Born: time.UnixMilli(born)} }
+func listedServer(id string, born int64) Server {
+	return Server{ID: id, Born: time.UnixMilli(born)}
+}
 
 // A leaving server must stay marked when its entry expires and reappears unchanged, or
 // when it is added again.
-func TestALeavingServerStaysSoUntilItStartsAgain(t *testing.T) {
+func TestLeavingServerMarkedUntilRestart(t *testing.T) {
 	var l LeavingServers
 	now := time.UnixMilli(1_000_000)
 	s := listedServer("s", 1)
--- a/topology/source.go
+++ b/topology/source.go
@@ -15,9 +15,9 @@
 
 // ServerChange is one change of a server's entry.
 type ServerChange struct {
-	ID      string
-	Server  *Server // nil: the entry is gone, or can't be used
-	Problem error   // why it can't be used
+	ID     string
+	Server *Server // nil: the entry is gone, or can't be used
+	Err    error   // why it can't be used
 }
 
 // Source is where the deployment is read from. Errors are *infra.Error;
--- a/topology/table.go
+++ b/topology/table.go
@@ -26,29 +26,29 @@
 
 // View is what an instance knows of the deployment at a moment. It is immutable.
 type View struct {
-	Config  *Config // nil: none was read yet
-	Index   *Index
-	Servers []Server       // by id
-	Nodes   map[string]int // live instances by failure domain, this one included
-	Counted bool           // Nodes is what a lease holder told; false: it is assumed
+	Config            *Config // nil: none was read yet
+	Index             *Index
+	Servers           []Server       // by id
+	InstancesByDomain map[string]int // live instances by failure domain, this one included
+	InstancesKnown    bool           // Nodes is what a lease holder told; false: it is assumed
 	// Expected says that a model that no server holds is loaded once it is asked
 	// for, so that requests wait for it.
-	Expected bool
-	Held     HeldList // what servers hold, or are about to lose, beyond their entries
+	LoadOnDemand bool
+	Held         HeldList // what servers hold, or are about to lose, beyond their entries
 }
 
 // Instances returns how many instances live, in all failure domains.
-func (v *View) Instances() int { return decide.CountInstances(v.Nodes) }
+func (v *View) Instances() int { return decide.CountInstances(v.InstancesByDomain) }
 
 // nearFill is the part of its slots up to which a server of the own failure
 // domain goes before others. Prompts are read between other requests' tokens, so
 // a first token comes later long before the batch is full, and the way to
 // another domain costs a millisecond.
-const nearFill = 0.2
+const localPreferenceFill = 0.2
 
 // plainSlots is the concurrency that a plain service's server gets credit for
 // where its entry names none.
-const plainSlots = 64
+const defaultServiceSlots = 64
 
 // BuildTable works out the routing table of a view for an instance of the
 // failure domain. A server that drains stays in it as leaving, so that what
@@ -57,15 +57,15 @@
 	t := &decide.Table{
 		OwnDomain:     domain,
 		Targets:       map[string]*decide.Target{},
-		Entries:       v.Nodes,
+		Entries:       v.InstancesByDomain,
 		Retry:         retry,
-		NearFill:      nearFill,
+		NearFill:      localPreferenceFill,
 		NoServerQueue: true,
 	}
 	for _, s := range v.Servers {
 		slots := s.Slots
 		if slots <= 0 {
-			slots = plainSlots
+			slots = defaultServiceSlots
 		}
 		t.Servers = append(t.Servers, decide.Server{
 			ID: s.ID, Addr: s.Addr, Pool: s.Service, FailureDomain: s.Domain, Slots: slots, Leaving: s.Leaving,
@@ -76,7 +76,7 @@
 		return t
 	}
 	for _, name := range slices.Sorted(maps.Keys(v.Config.Services)) {
-		addTargets(t, v.Config.Services[name], v.Expected)
+		addTargets(t, v.Config.Services[name], v.LoadOnDemand)
 	}
 	byServer := map[string]HeldList{}
 	for _, h := range v.Held {
@@ -89,7 +89,7 @@
 }
 
 // drops says whether the model or adapter must not be used any more.
-func (l HeldList) drops(model, adapter string) bool {
+func (l HeldList) excludes(model, adapter string) bool {
 	return slices.ContainsFunc(l, func(h Held) bool {
 		return h.Dropped && h.Model == model && (h.Adapter == "" || h.Adapter == adapter)
 	})
@@ -130,7 +130,7 @@
 // addModel adds a model that a server holds, with its adapters.
 func addModel(t *decide.Table, index int, service string, m HeldModel, beyond HeldList) {
 	add := func(adapter string) {
-		if !beyond.drops(m.Name, adapter) {
+		if !beyond.excludes(m.Name, adapter) {
 			addReplica(t, index, TargetName(service, m.Name, adapter), m.Version)
 		}
 	}
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -9,13 +9,13 @@
 )
 
 // RepeatPolicy says what may be repeated of a route's requests.
-type RepeatPolicy int
+type RetrySafety int
 
 // The policies, strictest first.
 const (
-	RunOnce    RepeatPolicy = iota // may run once at most
-	Idempotent                     // may run again after any failure
-	Resumable                      // a stream that may go on elsewhere after its last event
+	AtMostOnce RetrySafety = iota // may run once at most
+	Idempotent                    // may run again after any failure
+	Resumable                     // a stream that may go on elsewhere after its last event
 )
 
 // Config is one version of the operators' configuration.
@@ -31,7 +31,7 @@
 	Name     string
 	Host     string
 	Prefix   string // begins and ends with a slash
-	Repeat   RepeatPolicy
+	Retry    RetrySafety
 	Stream   bool // answers are event streams
 	Timeout  time.Duration
 	Goal     time.Duration // answers within it are worth most
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -13,9 +13,9 @@
 
 func TestMain(m *testing.M) { testmain.Run(m) }
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	x := NewIndex([]Route{
 		{Name: "root", Host: "a.example", Prefix: "/"},
 		{Name: "short", Host: "a.example", Prefix: "/x/"},
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestMatchAgreesWithASearchOfAllRoutes(t *testing.T) {
+func TestMatchEqualsLinearSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		prefix := rapid.StringMatching(`/([ab]{1,2}/){0,3}`)
 		routes := []Route{}
@@ -64,7 +64,7 @@
 	})
 }
 
-func TestPickFollowsTheWeights(t *testing.T) {
+func TestPickByWeight(t *testing.T) {
 	r := Route{Choices: []Choice{{"a", 90}, {"b", 10}, {"never", 0}}}
 	require.Equal(t, "a", r.Pick(0))
 	require.Equal(t, "a", r.Pick(0.89))
@@ -72,33 +72,33 @@
 	require.Equal(t, "b", r.Pick(0.999999))
 }
 
-func entry(id string, born time.Duration) ServerChange {
-	return ServerChange{ID: id, Server: &Server{ID: id, Service: "s", Addr: "10.0.0.1:1", Domain: "d", Born: start.Add(born)}}
+func serverEntry(id string, born time.Duration) ServerChange {
+	return ServerChange{ID: id, Server: &Server{ID: id, Service: "s", Addr: "10.0.0.1:1", Domain: "d", Born: testStart.Add(born)}}
 }
 
-func TestFleetFollowsEntries(t *testing.T) {
+func TestFleetAppliesChanges(t *testing.T) {
 	f := NewFleet()
-	require.True(t, f.Apply(start, []ServerChange{entry("a", 0), entry("b", 0)}))
-	require.False(t, f.Apply(start, []ServerChange{entry("a", 0)}), "a heartbeat changes nothing")
-	require.True(t, f.Apply(start, []ServerChange{entry("a", time.Second)}), "a start under the same id is another server")
-	require.False(t, f.Apply(start, []ServerChange{entry("a", 0)}), "an entry of the earlier start that came late")
-	require.True(t, f.Apply(start, []ServerChange{{ID: "b"}}))
+	require.True(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0), serverEntry("b", 0)}))
+	require.False(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0)}), "a heartbeat changes nothing")
+	require.True(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", time.Second)}), "a start under the same id is another server")
+	require.False(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0)}), "an entry of the earlier start that came late")
+	require.True(t, f.ApplyChanges(testStart, []ServerChange{{ID: "b"}}))
 	require.Len(t, f.Servers(), 1)
-	require.True(t, f.Reset(start, nil), "what the newest entries don't name is gone")
+	require.True(t, f.Reset(testStart, nil), "what the newest entries don't name is gone")
 	require.Empty(t, f.Servers())
 }
 
-func TestEntriesThatLapsedWithTheStoreAreWaitedFor(t *testing.T) {
+func TestExpiredEntriesKeptAfterStoreOutage(t *testing.T) {
 	f := NewFleet()
-	f.Apply(start, []ServerChange{entry("back", 0), entry("gone", 0)})
-	f.StoreBack(start)
-	require.False(t, f.Apply(start.Add(100*time.Millisecond), []ServerChange{{ID: "back"}, {ID: "gone"}}))
-	f.Apply(start.Add(time.Second), []ServerChange{entry("back", 0)})
-	require.False(t, f.Expire(start.Add(2*time.Second)))
-	require.True(t, f.Expire(start.Add(2100*time.Millisecond)))
+	f.ApplyChanges(testStart, []ServerChange{serverEntry("back", 0), serverEntry("gone", 0)})
+	f.StoreRecovered(testStart)
+	require.False(t, f.ApplyChanges(testStart.Add(100*time.Millisecond), []ServerChange{{ID: "back"}, {ID: "gone"}}))
+	f.ApplyChanges(testStart.Add(time.Second), []ServerChange{serverEntry("back", 0)})
+	require.False(t, f.RemoveExpired(testStart.Add(2*time.Second)))
+	require.True(t, f.RemoveExpired(testStart.Add(2100*time.Millisecond)))
 	require.Len(t, f.Servers(), 1)
 	require.Equal(t, "back", f.Servers()[0].ID)
-	require.True(t, f.Apply(start.Add(10*time.Second), []ServerChange{{ID: "back"}}), "long after the outage it is gone at once")
+	require.True(t, f.ApplyChanges(testStart.Add(10*time.Second), []ServerChange{{ID: "back"}}), "long after the outage it is gone at once")
 }
 
 func engineView() *View {
@@ -117,36 +117,36 @@
 	}
 }
 
-func replicas(t *testing.T, tb *decide.Table, target string) int {
+func replicaCount(t *testing.T, tb *decide.Table, target string) int {
 	t.Helper()
 	require.Contains(t, tb.Targets, target)
 	return len(tb.Targets[target].Replicas)
 }
 
-func TestTableNamesServicesModelsAndAdapters(t *testing.T) {
+func TestTableTargets(t *testing.T) {
 	tb := BuildTable("d", engineView(), decide.RetryPolicy{})
-	require.Equal(t, 1, replicas(t, tb, "plain"))
-	require.Equal(t, 1, replicas(t, tb, "llm/m"))
-	require.Equal(t, 1, replicas(t, tb, "llm/m/a1"))
-	require.Equal(t, 0, replicas(t, tb, "llm/m/a2"))
-	require.Equal(t, 1, replicas(t, tb, "llm/n"))
+	require.Equal(t, 1, replicaCount(t, tb, "plain"))
+	require.Equal(t, 1, replicaCount(t, tb, "llm/m"))
+	require.Equal(t, 1, replicaCount(t, tb, "llm/m/a1"))
+	require.Equal(t, 0, replicaCount(t, tb, "llm/m/a2"))
+	require.Equal(t, 1, replicaCount(t, tb, "llm/n"))
 	require.NotContains(t, tb.Targets, "llm/m/a3")
 	require.NotContains(t, tb.Targets, "unknown")
 }
 
-func TestTableKnowsWhatServersHoldAndLoseBeyondTheirEntries(t *testing.T) {
+func TestTableAppliesResidencyOverrides(t *testing.T) {
 	v := engineView()
 	v.Held = HeldList{{Server: "e", Model: "m", Adapter: "a2"}, {Server: "e", Model: "n", Dropped: true}}
 	tb := BuildTable("d", v, decide.RetryPolicy{})
-	require.Equal(t, 1, replicas(t, tb, "llm/m/a2"))
-	require.Equal(t, 0, replicas(t, tb, "llm/n"))
+	require.Equal(t, 1, replicaCount(t, tb, "llm/m/a2"))
+	require.Equal(t, 0, replicaCount(t, tb, "llm/n"))
 	v.Held = HeldList{{Server: "e", Model: "new"}, {Server: "e", Model: "n", Dropped: true}}
 	v.Config.Services["llm"].Engine.Models[1].Name = "new"
 	tb = BuildTable("d", v, decide.RetryPolicy{})
-	require.Equal(t, 1, replicas(t, tb, "llm/new"), "its entry doesn't show it while the store is away")
+	require.Equal(t, 1, replicaCount(t, tb, "llm/new"), "its entry doesn't show it while the store is away")
 	v.Held = HeldList{{Server: "e", Model: "m", Dropped: true}, {Server: "e", Model: "m", Adapter: "a2"}}
 	tb = BuildTable("d", v, decide.RetryPolicy{})
 	for _, target := range []string{"llm/m", "llm/m/a1", "llm/m/a2"} {
-		require.Equal(t, 0, replicas(t, tb, target), "a model that goes takes its adapters along")
+		require.Equal(t, 0, replicaCount(t, tb, target), "a model that goes takes its adapters along")
 	}
 }
