--- a/topology/delta.go
+++ b/topology/delta.go
@@ -7,31 +7,30 @@
 	"strconv"
 )
 
-// Delta is a step from one list of servers to the next: what became of one
-// server. It is small where only its adapters changed, as with each of the
-// hundreds of adapters that are loaded after a start.
+// Delta is a change of one server in a list of servers. It is small if only the server's
+// adapters changed, as for each of the hundreds of adapters that are loaded after a start.
 type Delta struct {
 	ID     string
-	Server *Server     // what it is now; nil: it is gone, or only its models changed
-	Gone   bool        // it is no longer listed
-	Added  []HeldModel // models with the adapters that came
-	Lost   []HeldModel // models with the adapters that went; without adapters the model itself
+	Server *Server     // the new description; nil: the server was removed, or only its models changed
+	Gone   bool        // the server is no longer listed
+	Added  []HeldModel // models with their added adapters
+	Lost   []HeldModel // models with their removed adapters; without adapters: the model was removed
 }
 
-// deltaOf returns the step from one description of a server to another.
+// newDelta returns the delta between two descriptions of a server.
 func newDelta(old, now *Server) Delta {
 	d := Delta{ID: now.ID}
 	for _, m := range now.Models {
-		was := old.model(m.Name)
-		if was == nil || was.Version != m.Version {
+		before := old.model(m.Name)
+		if before == nil || before.Version != m.Version {
 			d.Added = append(d.Added, m)
 			continue
 		}
-		if came := without(m.Adapters, was.Adapters); len(came) > 0 {
-			d.Added = append(d.Added, HeldModel{m.Name, m.Version, came})
+		if added := without(m.Adapters, before.Adapters); len(added) > 0 {
+			d.Added = append(d.Added, HeldModel{m.Name, m.Version, added})
 		}
-		if went := without(was.Adapters, m.Adapters); len(went) > 0 {
-			d.Lost = append(d.Lost, HeldModel{m.Name, m.Version, went})
+		if lost := without(before.Adapters, m.Adapters); len(lost) > 0 {
+			d.Lost = append(d.Lost, HeldModel{m.Name, m.Version, lost})
 		}
 	}
 	for _, m := range old.Models {
@@ -39,13 +38,14 @@
 			d.Lost = append(d.Lost, HeldModel{Name: m.Name, Version: m.Version})
 		}
 	}
-	if next := d.apply(old); !next.Equal(now) { // something else changed too
+	if next := d.apply(old); !next.Equal(now) { // something other than the models changed
 		return Delta{ID: now.ID, Server: now}
 	}
 	return d
 }
 
-// apply returns the server after the step. It shares nothing that it changes.
+// apply returns the server after the change. It does not modify s or anything that s
+// refers to.
 func (d *Delta) apply(s *Server) Server {
 	if d.Server != nil {
 		return *d.Server
@@ -72,7 +72,7 @@
 	return next
 }
 
-// model returns the model that the server holds, nil if it doesn't.
+// model returns the server's loaded model with the name, or nil.
 func (s *Server) model(name string) *HeldModel {
 	for n := range s.Models {
 		if s.Models[n].Name == name {
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// without returns the names that aren't in the other list, in their order.
+// without returns the names that are not in the other list, in their order.
 func without(names, others []string) []string {
 	var out []string
 	for _, n := range names {
@@ -93,13 +93,13 @@
 	return out
 }
 
-// digest is a hash of all that Equal compares, the same in every process. The
-// digest of a list is the sum of its servers'.
+// digest returns a hash of all that Equal compares, the same in every process. The digest
+// of a list is the sum of its servers' digests.
 func (s *Server) digest() uint64 {
 	h := fnv.New64a()
 	text := func(values ...string) {
 		for _, v := range values {
-			_, _ = h.Write([]byte(v)) // a hash never fails
+			_, _ = h.Write([]byte(v)) // a hash.Hash never returns an error
 			_, _ = h.Write([]byte{0})
 		}
 	}
--- a/topology/fleet.go
+++ b/topology/fleet.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// Fleet holds the backend servers as the store's changes tell of them, or
-// another instance's steps. It is not safe for concurrent use.
+// Fleet holds the list of backend servers. It is updated from changes in the store or
+// from another instance's deltas. It is not safe for concurrent use.
 type Fleet struct {
 	servers          map[string]Server
-	pendingRemoval   map[string]time.Time // servers whose entry went, and until when they are kept
-	storeRecoveredAt time.Time            // when the store last came back
-	digest           uint64               // of the list as it is
-	steps            []step               // the newest
-	ids              []string             // of the servers, in order; nil: to be listed anew
+	pendingRemoval   map[string]time.Time // when to remove the servers that are kept without an entry
+	storeRecoveredAt time.Time            // when the store last became available again
+	digest           uint64               // of the current list
+	steps            []step               // the newest ones, oldest first
+	ids              []string             // of the servers, sorted; nil: outdated
 }
 
-// step is one step of the list, with the digest of the list after it.
+// step is a change of the list, with the digest of the list after the change.
 type step struct {
 	delta       Delta
 	digestAfter uint64
 }
 
 const (
-	// lapsed is how long after the store came back a server is kept whose entry
-	// went: entries that ran out while the store was away are written again
-	// within about two seconds if their servers live. Counted from the store's return and
-	// not from when the entry went: one that leaves meanwhile would be used for two
-	// seconds more, longer than a server that leaves may be.
+	// entryRestoreWindow is how long after a store outage servers without an entry are
+	// kept. Entries that expired during the outage are written again within about two
+	// seconds if their servers are alive. The window starts when the store becomes
+	// available and not when an entry is removed: a server that shuts down in the
+	// window would otherwise be used for two more seconds, which is too long.
 	entryRestoreWindow = 2100 * time.Millisecond
-	// fleetSteps is how many steps are kept for instances that are behind: some
-	// seconds' worth while every adapter of a large fleet is loaded.
+	// minKeptSteps is how many steps are kept at least for instances that are behind, and
+	// half of how many are kept at most. It covers some seconds while every adapter of a
+	// large fleet is loaded.
 	minKeptSteps = 2048
 )
 
@@ -40,11 +41,11 @@
 	return &Fleet{servers: map[string]Server{}, pendingRemoval: map[string]time.Time{}}
 }
 
-// StoreBack is told that the store answers again after it didn't.
+// StoreRecovered records that the store is available again after an outage.
 func (f *Fleet) StoreRecovered(now time.Time) { f.storeRecoveredAt = now }
 
-// Apply takes in changes of entries, and says whether anything but the servers'
-// heartbeats changed.
+// ApplyChanges applies changes of entries, and reports whether the list changed. A mere
+// heartbeat does not change the list.
 func (f *Fleet) ApplyChanges(now time.Time, changes []ServerChange) bool {
 	changed := false
 	for _, c := range changes {
@@ -58,7 +59,7 @@
 		delete(f.pendingRemoval, c.ID)
 		old, known := f.servers[c.ID]
 		if known && c.Server.Born.Before(old.Born) {
-			continue // an entry of an earlier start that came late
+			continue // an outdated entry of an earlier start
 		}
 		if known && old.Leaving && !c.Server.Leaving && c.Server.Born.Equal(old.Born) {
 			// The entry predates the start of leaving, as after the store was restored from an
@@ -80,7 +81,7 @@
 	return changed
 }
 
-// take carries out a step and remembers it.
+// applyDelta applies a delta and records the step.
 func (f *Fleet) applyDelta(d Delta) {
 	old, known := f.servers[d.ID]
 	if known {
@@ -103,12 +104,12 @@
 	}
 }
 
-// Digest identifies the list: two instances with the same digest have the same
-// servers, heartbeats apart.
+// Digest returns a hash of the list. Two instances with the same digest have the same
+// list, apart from heartbeats.
 func (f *Fleet) Digest() uint64 { return f.digest }
 
-// Since returns the steps from the list with a digest to the list as it is. It
-// returns false where that list isn't among the newest.
+// DeltasSince returns the deltas from the list with the digest to the current list. It
+// returns false if the steps since that list are not kept.
 func (f *Fleet) DeltasSince(digest uint64) ([]Delta, bool) {
 	if digest == f.digest {
 		return nil, true
@@ -126,8 +127,8 @@
 	return nil, false
 }
 
-// Follow carries out another instance's steps, and says whether they led to the
-// list with that digest. Where they don't, the list has to be read anew.
+// ApplyDeltas applies another instance's deltas, and reports whether the result is the
+// list with the digest. If not, the list must be read from the store.
 func (f *Fleet) ApplyDeltas(steps []Delta, digest uint64) bool {
 	for _, d := range steps {
 		if _, known := f.servers[d.ID]; known || d.Server != nil {
@@ -137,7 +138,8 @@
 	return f.digest == digest
 }
 
-// Reset replaces all entries by the newest of each server.
+// Reset replaces all entries by the newest entry of each server, and reports whether the
+// list changed.
 func (f *Fleet) Reset(now time.Time, entries []ServerChange) bool {
 	listed := map[string]bool{}
 	for _, c := range entries {
@@ -152,8 +154,9 @@
 	return changed
 }
 
-// gone takes a server out whose entry went, later if its entry may only have
-// run out while the store was away.
+// removeEntry handles the removal of a server's entry, and reports whether the list
+// changed. The server is removed at once or, if the entry may only have expired during a
+// store outage, after entryRestoreWindow.
 func (f *Fleet) removeEntry(now time.Time, id string) bool {
 	if _, known := f.servers[id]; !known {
 		return false
@@ -166,7 +169,8 @@
 	return true
 }
 
-// Expire takes out the servers that were kept long enough.
+// RemoveExpired removes the servers that were kept without an entry and whose time is
+// over. It reports whether the list changed.
 func (f *Fleet) RemoveExpired(now time.Time) bool {
 	changed := false
 	for id, until := range f.pendingRemoval {
@@ -178,7 +182,7 @@
 	return changed
 }
 
-// IDs returns the servers' ids in order. The slice must not be changed.
+// IDs returns the servers' sorted ids. The slice must not be modified.
 func (f *Fleet) IDs() []string {
 	if f.ids == nil {
 		f.ids = slices.Sorted(maps.Keys(f.servers))
@@ -186,7 +190,7 @@
 	return f.ids
 }
 
-// Servers returns the servers by id.
+// Servers returns the servers, sorted by id.
 func (f *Fleet) Servers() []Server {
 	out := make([]Server, 0, len(f.servers))
 	for _, id := range f.IDs() {
--- a/topology/fleet_test.go
+++ b/topology/fleet_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawServer draws one of a few descriptions of a server.
+// drawServer draws a random description of a server.
 func drawServer(t *rapid.T, id string) *Server {
 	s := &Server{ID: id, Service: "llm", Addr: "10.0.0.1:1", Slots: 8, Born: time.UnixMilli(int64(rapid.IntRange(1, 2).Draw(t, "born")))}
 	s.Leaving = rapid.IntRange(0, 9).Draw(t, "leaving") == 0
@@ -28,20 +28,20 @@
 	return s
 }
 
-// TestAFollowerComesToTheSameList: one fleet reads changes, outages and lapses
-// included; another is told only the steps since the list that it has.
+// One fleet applies changes, with store outages and expired entries; another applies only
+// the deltas since its own list. Both must have the same list.
 func TestFollowerReachesSameList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		leader, follower := NewFleet(), NewFleet()
 		now := time.UnixMilli(1_000_000)
-		for _, f := range []*Fleet{leader, follower} { // both have read the store
+		for _, f := range []*Fleet{leader, follower} { // both start from the same list
 			f.ApplyChanges(now, []ServerChange{{ID: "s0", Server: &Server{ID: "s0"}}})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 1500).Draw(t, "ms")) * time.Millisecond)
 			c := ServerChange{ID: fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "server"))}
 			switch rapid.IntRange(0, 7).Draw(t, "what") {
-			case 0: // its entry goes
+			case 0: // the entry is removed
 				leader.ApplyChanges(now, []ServerChange{c})
 			case 1:
 				leader.StoreRecovered(now)
@@ -72,11 +72,11 @@
 	leader.ApplyChanges(now, []ServerChange{{ID: "y", Server: &Server{ID: "y"}}})
 	_, ok := leader.DeltasSince(other.Digest())
 	require.False(t, ok)
-	require.False(t, other.ApplyDeltas([]Delta{{ID: "y", Server: &Server{ID: "y"}}}, leader.Digest()), "its list differs by x")
+	require.False(t, other.ApplyDeltas([]Delta{{ID: "y", Server: &Server{ID: "y"}}}, leader.Digest()), "the follower's list also has x")
 	for n := range 3 * minKeptSteps {
 		leader.ApplyChanges(now, []ServerChange{{ID: "y", Server: &Server{ID: "y", Slots: n + 1}}})
 	}
-	require.Less(t, len(leader.steps), 2*minKeptSteps, "what is kept is bounded")
+	require.Less(t, len(leader.steps), 2*minKeptSteps, "the number of kept steps must be bounded")
 }
 
 func TestResidencyOverrideDiffs(t *testing.T) {
@@ -104,16 +104,16 @@
 	})
 }
 
-// An instance's way to the store heals; right after, a server leaves in order. It
-// must not be taken for one whose entry only ran out meanwhile for longer than
-// that may take.
+// Guards against using a server for too long that shuts down right after a store outage:
+// its removed entry looks like one that expired in the outage, and must not extend the
+// time for which such servers are kept.
 func TestServerRemovedAfterOutageExpiresOnTime(t *testing.T) {
 	f := NewFleet()
 	now := time.UnixMilli(1_000_000)
 	f.ApplyChanges(now, []ServerChange{{ID: "s", Server: &Server{ID: "s"}}})
 	f.StoreRecovered(now)
 	now = now.Add(1400 * time.Millisecond)
-	require.False(t, f.ApplyChanges(now, []ServerChange{{ID: "s"}}), "it may only have lapsed")
+	require.False(t, f.ApplyChanges(now, []ServerChange{{ID: "s"}}), "the entry may only have expired")
 	require.True(t, f.RemoveExpired(now.Add(700*time.Millisecond)))
 	require.Empty(t, f.Servers())
 }
--- a/topology/held.go
+++ b/topology/held.go
@@ -7,11 +7,12 @@
 	"strconv"
 )
 
-// Held is what a server holds beyond its entry, or must not be used there for any
-// more though its entry shows it.
+// Held is a difference between what a server holds and what its entry shows: a model or
+// adapter that it holds although the entry lacks it or, if Dropped is set, one that must
+// no longer be used there although the entry shows it.
 type Held struct {
-	Server, Model, Adapter string // no adapter: the model with all its adapters
-	Dropped                bool   // it must not be used there any more
+	Server, Model, Adapter string // empty Adapter: the model; if dropped, with all its adapters
+	Dropped                bool   // must no longer be used there
 }
 
 func (h Held) compare(o Held) int {
@@ -25,37 +26,37 @@
 		cmp.Compare(h.Adapter, o.Adapter), cmp.Compare(dropped(h), dropped(o)))
 }
 
-// HeldList is a list of what servers hold, in order, without repeats.
+// HeldList is a sorted list without duplicates.
 type HeldList []Held
 
-// NewHeldList returns the list of them.
+// NewHeldList returns the sorted list of the given differences.
 func NewHeldList(held []Held) HeldList {
 	l := slices.Clone(held)
 	slices.SortFunc(l, Held.compare)
 	return slices.Compact(l)
 }
 
-// Equal says whether two lists are the same.
+// Equal reports whether two lists are the same.
 func (l HeldList) Equal(o HeldList) bool { return slices.Equal(l, o) }
 
-// Digest identifies the list in every process.
+// Digest returns a hash of the list that is the same in every process.
 func (l HeldList) Digest() uint64 {
 	h := fnv.New64a()
 	for _, x := range l {
 		for _, text := range []string{x.Server, x.Model, x.Adapter, strconv.FormatBool(x.Dropped)} {
-			_, _ = h.Write([]byte(text)) // a hash never fails
+			_, _ = h.Write([]byte(text)) // a hash.Hash never returns an error
 			_, _ = h.Write([]byte{0})
 		}
 	}
 	return h.Sum64()
 }
 
-// Change returns the list without some, and with others.
+// Change returns the list without the lost and with the added elements.
 func (l HeldList) Change(lost, added HeldList) HeldList {
 	return NewHeldList(append(slices.Clone(l.without(lost)), added...))
 }
 
-// without returns what isn't in the other list.
+// without returns the elements that are not in the other list.
 func (l HeldList) without(o HeldList) HeldList {
 	var out HeldList
 	for _, h := range l {
@@ -66,19 +67,19 @@
 	return out
 }
 
-// heldKept is how many lists a HeldHistory keeps: orders change the list some
-// twenty times a second after a start, and instances ask twice a second.
+// heldHistorySize is how many lists a HeldHistory keeps. After a start, orders change the
+// list some twenty times a second, and instances ask for changes twice a second.
 const heldHistorySize = 64
 
-// HeldHistory keeps the newest lists, so that an instance is told only how the
-// newest differs from the one that it knows. The zero value is ready. It is not
-// safe for concurrent use.
+// HeldHistory keeps the newest lists, so that an instance can be sent only the difference
+// between the newest list and the one that it has. The zero value is ready to use. It is
+// not safe for concurrent use.
 type HeldHistory struct {
 	lists   []HeldList
 	digests []uint64
 }
 
-// Add adds a list, unless it is the newest already.
+// Add adds a list, unless it equals the newest one.
 func (h *HeldHistory) Add(l HeldList) {
 	digest := l.Digest()
 	if n := len(h.digests); n > 0 && h.digests[n-1] == digest {
@@ -98,8 +99,8 @@
 	return h.lists[len(h.lists)-1]
 }
 
-// Since returns how the newest list differs from the one with a digest. It
-// returns false where that one isn't kept.
+// Since returns the difference between the newest list and the one with the digest. It
+// returns false if that list is not kept.
 func (h *HeldHistory) Since(digest uint64) (lost, added HeldList, ok bool) {
 	at := slices.Index(h.digests, digest)
 	if at < 0 {
--- a/topology/leaving.go
+++ b/topology/leaving.go
@@ -21,8 +21,8 @@
 // StartID tells apart the starts of a server that restarts under the same id.
 func (s *Server) StartID() string { return strconv.FormatInt(s.Born.UnixMilli(), 36) }
 
-// LeavingServers holds the servers whose answers said that they are leaving. Their
-// entries may show this later or, while the store is unavailable, not at all. The zero
+// LeavingServers holds the servers whose responses marked them as leaving. Their entries
+// may show this later or, while the store is unavailable, not at all. The zero
 // value is ready to use. It is not safe for concurrent use.
 type LeavingServers struct {
 	byID map[string]leavingServer
--- a/topology/routes.go
+++ b/topology/routes.go
@@ -9,15 +9,15 @@
 	hosts map[string]*hostRoutes
 }
 
-// hostRoutes are a host's routes by prefix, with the lengths that occur, so
-// that a look-up costs one map access for each length and not one for each of
-// hundreds of routes.
+// hostRoutes holds a host's routes by prefix, and the lengths of the prefixes. A lookup
+// costs one map access for each length instead of one comparison for each of hundreds of
+// routes.
 type hostRoutes struct {
 	byPrefix map[string]*Route
 	lengths  []int // descending
 }
 
-// NewIndex indexes the routes of a configuration.
+// NewIndex returns an index of a configuration's routes.
 func NewIndex(routes []Route) *Index {
 	x := &Index{hosts: map[string]*hostRoutes{}}
 	for i := range routes {
@@ -44,8 +44,8 @@
 	}
 }
 
-// Match returns the route with the longest prefix of the path, or nil. The
-// host may bear a port.
+// Match returns the route of the host with the longest matching path prefix, or nil. The
+// host may include a port.
 func (x *Index) Match(host, path string) *Route {
 	host = strings.ToLower(host)
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
@@ -66,7 +66,8 @@
 	return nil
 }
 
-// Pick returns the route's service for a draw in [0, 1).
+// Pick returns one of the route's services, chosen by weight. draw is a random number in
+// [0, 1).
 func (r *Route) Pick(draw float64) string {
 	sum := 0.0
 	for _, c := range r.Choices {
--- a/topology/source.go
+++ b/topology/source.go
@@ -13,17 +13,19 @@
 	Offset int64
 }
 
-// ServerChange is one change of a server's entry.
+// ServerChange is a change of a server's entry in the store.
 type ServerChange struct {
 	ID     string
-	Server *Server // nil: the entry is gone, or can't be used
-	Err    error   // why it can't be used
+	Server *Server // nil: the entry was removed or can't be used
+	Err    error   // why the entry can't be used
 }
 
-// Source is where the deployment is read from. Errors are *infra.Error;
-// infra.ReasonOutOfRange asks to begin with the newest again. The position that a read
-// returns has the era of the store's answer. If that differs from the era of the position
-// read from, the changes returned don't continue from that position.
+// Source reads the deployment from the store. The Newest methods return the current
+// state, the Next methods wait up to the given time for changes after a position. Errors
+// are *infra.Error; after infra.ReasonOutOfRange the caller must start again from the
+// newest state. The position that a read returns has the era of the store's response. If
+// that differs from the era of the position read from, the changes returned don't continue
+// from that position.
 type Source interface {
 	NewestConfig(ctx context.Context) (*Config, Position, error)
 	NextConfig(ctx context.Context, from Position, wait time.Duration) (*Config, Position, error)
--- a/topology/table.go
+++ b/topology/table.go
@@ -9,8 +9,8 @@
 	"greengageferry/decide"
 )
 
-// TargetName names what a request asks a service for: a model, one of its
-// adapters, or the plain service itself.
+// TargetName returns the name of a target: a service's model, an adapter of a model, or
+// a plain service.
 func TargetName(service, model, adapter string) string {
 	if model == "" {
 		return service
@@ -21,38 +21,38 @@
 	return service + "/" + model + "/" + adapter
 }
 
-// AdapterName returns the name of a model's nth adapter, from 1.
+// AdapterName returns the name of a model's nth adapter, counted from 1: a1, a2 and so on.
 func AdapterName(n int) string { return "a" + strconv.Itoa(n) }
 
-// View is what an instance knows of the deployment at a moment. It is immutable.
+// View is an instance's knowledge of the deployment at a moment. It is immutable.
 type View struct {
-	Config            *Config // nil: none was read yet
+	Config            *Config // nil: none has been read yet
 	Index             *Index
-	Servers           []Server       // by id
-	InstancesByDomain map[string]int // live instances by failure domain, this one included
-	InstancesKnown    bool           // Nodes is what a lease holder told; false: it is assumed
-	// Expected says that a model that no server holds is loaded once it is asked
-	// for, so that requests wait for it.
+	Servers           []Server       // sorted by id
+	InstancesByDomain map[string]int // number of live instances by failure domain, this one included
+	InstancesKnown    bool           // InstancesByDomain comes from a lease holder; false: it is an assumption
+	// LoadOnDemand says that a model that no server holds is loaded once it is
+	// requested. Requests are then queued for it instead of refused.
 	LoadOnDemand bool
-	Held         HeldList // what servers hold, or are about to lose, beyond their entries
+	Held         HeldList // differences between what servers hold and what their entries show
 }
 
-// Instances returns how many instances live, in all failure domains.
+// Instances returns the number of live instances in all failure domains.
 func (v *View) Instances() int { return decide.CountInstances(v.InstancesByDomain) }
 
-// nearFill is the part of its slots up to which a server of the own failure
-// domain goes before others. Prompts are read between other requests' tokens, so
-// a first token comes later long before the batch is full, and the way to
-// another domain costs a millisecond.
+// localPreferenceFill is the fraction of its slots up to which a server of the own
+// failure domain is preferred to others. Prompts are processed between other requests'
+// tokens, so the first token is delayed long before the batch is full, while a request
+// to another domain costs only a millisecond.
 const localPreferenceFill = 0.2
 
-// plainSlots is the concurrency that a plain service's server gets credit for
-// where its entry names none.
+// defaultServiceSlots is the assumed concurrency of a plain service's server whose entry
+// states none.
 const defaultServiceSlots = 64
 
-// BuildTable works out the routing table of a view for an instance of the
-// failure domain. A server that drains stays in it as leaving, so that what
-// runs there is still known.
+// BuildTable returns the routing table of a view for an instance in the failure domain.
+// A leaving server stays in the table, marked as such, so that its running requests are
+// still accounted for.
 func BuildTable(domain string, v *View, retry decide.RetryPolicy) *decide.Table {
 	t := &decide.Table{
 		OwnDomain:     domain,
@@ -88,14 +88,15 @@
 	return t
 }
 
-// drops says whether the model or adapter must not be used any more.
+// excludes reports whether the model or adapter must no longer be used.
 func (l HeldList) excludes(model, adapter string) bool {
 	return slices.ContainsFunc(l, func(h Held) bool {
 		return h.Dropped && h.Model == model && (h.Adapter == "" || h.Adapter == adapter)
 	})
 }
 
-func addTargets(t *decide.Table, s Service, expected bool) {
+// addTargets adds a service's targets, without replicas.
+func addTargets(t *decide.Table, s Service, loadOnDemand bool) {
 	if s.Engine == nil {
 		t.Targets[s.Name] = &decide.Target{Name: s.Name, Pool: s.Name, Service: true}
 		return
@@ -107,30 +108,33 @@
 				adapter = AdapterName(n)
 			}
 			name := TargetName(s.Name, m.Name, adapter)
-			t.Targets[name] = &decide.Target{Name: name, Pool: s.Name, Model: m.Name, Adapter: adapter, Expected: expected}
+			t.Targets[name] = &decide.Target{Name: name, Pool: s.Name, Model: m.Name, Adapter: adapter, Expected: loadOnDemand}
 		}
 	}
 }
 
-func addReplicas(t *decide.Table, index int, s *Server, beyond HeldList) {
+// addReplicas adds a server, given by its index in the table, to the targets that it can
+// serve.
+func addReplicas(t *decide.Table, index int, s *Server, held HeldList) {
 	if target := t.Targets[s.Service]; target != nil {
 		target.Replicas = append(target.Replicas, decide.Replica{Server: index})
 		return
 	}
 	for _, m := range s.Models {
-		addModel(t, index, s.Service, m, beyond)
+		addModel(t, index, s.Service, m, held)
 	}
-	for _, h := range beyond {
+	for _, h := range held {
 		if h.Adapter == "" && !h.Dropped && !s.Holds(h.Model, "") {
-			addModel(t, index, s.Service, HeldModel{Name: h.Model}, beyond)
+			addModel(t, index, s.Service, HeldModel{Name: h.Model}, held)
 		}
 	}
 }
 
-// addModel adds a model that a server holds, with its adapters.
-func addModel(t *decide.Table, index int, service string, m HeldModel, beyond HeldList) {
+// addModel adds a server to the targets of a model that it holds and of the model's
+// adapters.
+func addModel(t *decide.Table, index int, service string, m HeldModel, held HeldList) {
 	add := func(adapter string) {
-		if !beyond.excludes(m.Name, adapter) {
+		if !held.excludes(m.Name, adapter) {
 			addReplica(t, index, TargetName(service, m.Name, adapter), m.Version)
 		}
 	}
@@ -138,13 +142,15 @@
 	for _, a := range m.Adapters {
 		add(a)
 	}
-	for _, h := range beyond {
+	for _, h := range held {
 		if h.Model == m.Name && h.Adapter != "" && !h.Dropped {
 			add(h.Adapter)
 		}
 	}
 }
 
+// addReplica adds a server to the target, unless it is there already or the target is
+// not configured.
 func addReplica(t *decide.Table, index int, name string, version int64) {
 	target := t.Targets[name]
 	if target == nil {
@@ -156,7 +162,7 @@
 	}
 }
 
-// SplitModel splits what a request names into a model and its adapter.
+// SplitModel splits a request's model name, model/adapter, into model and adapter.
 func SplitModel(name string) (model, adapter string) {
 	model, adapter, _ = strings.Cut(name, "/")
 	return model, adapter
--- a/topology/topology.go
+++ b/topology/topology.go
@@ -1,6 +1,8 @@
-// Package topology holds what an instance knows of the deployment that it
-// serves: the operators' routes and services, the backend servers, and its own
-// settings. It does no I/O and reads no clock.
+// Package topology models the deployment that an instance serves. A Config holds the
+// operators' routes and services, a Fleet follows the entries of backend servers, and a
+// Node holds the instance's own settings. A View combines what an instance knows at a
+// moment, and BuildTable derives the routing table from it. The package does no I/O and
+// reads no clock.
 package topology
 
 import (
@@ -8,14 +10,15 @@
 	"time"
 )
 
-// RepeatPolicy says what may be repeated of a route's requests.
+// RetrySafety says whether a route's requests may be retried after an attempt that may
+// have run.
 type RetrySafety int
 
-// The policies, strictest first.
+// The retry safeties, strictest first.
 const (
-	AtMostOnce RetrySafety = iota // may run once at most
-	Idempotent                    // may run again after any failure
-	Resumable                     // a stream that may go on elsewhere after its last event
+	AtMostOnce RetrySafety = iota // never retried: the request may run at most once
+	Idempotent                    // may be retried after any failure
+	Resumable                     // a stream that another server can resume after its last event
 )
 
 // Config is one version of the operators' configuration.
@@ -26,53 +29,53 @@
 	Limits   Limits
 }
 
-// Route sends the requests for a host and a path prefix to services.
+// Route maps the requests for a host and a path prefix to services.
 type Route struct {
 	Name     string
 	Host     string
 	Prefix   string // begins and ends with a slash
 	Retry    RetrySafety
-	Stream   bool // answers are event streams
-	Timeout  time.Duration
-	Goal     time.Duration // answers within it are worth most
-	MaxGap   time.Duration // the longest pause between events that isn't late; 0: none declared
-	Attempts int           // servers that one request may be sent to
-	Rank     int           // 0 is the most urgent
+	Stream   bool          // responses are event streams
+	Timeout  time.Duration // 0: the relay's default
+	Goal     time.Duration // latency goal: responses within it are worth most
+	MaxGap   time.Duration // the longest pause between events that counts as on time; 0: none declared
+	Attempts int           // maximum number of attempts of one request
+	Rank     int           // priority; 0 is the most urgent
 	Choices  []Choice      // at least one
 }
 
-// Choice is one of the services that a route's requests may go to.
+// Choice is one of the services that a route's requests are divided among.
 type Choice struct {
 	Service string
-	Weight  float64
+	Weight  float64 // the service's share is its weight divided by the sum of weights
 }
 
 // Service is a pool of backend servers.
 type Service struct {
 	Name   string
-	Engine *Engine // nil: a plain service
+	Engine *Engine // nil: a plain service, whose servers run no models
 }
 
-// Engine describes the servers of a service that run models.
+// Engine describes the servers of a service that runs models.
 type Engine struct {
-	Slots          int // requests in one batch
-	TokensPerEvent int // tokens that one event of a stream holds
-	MemoryMB       float64
-	AdapterSlots   int
-	LoadsPerSecond float64 // that the weight store allows, over all servers
+	Slots          int     // requests in one batch of a server
+	TokensPerEvent int     // tokens that one event of a stream holds
+	MemoryMB       float64 // accelerator memory of a server
+	AdapterSlots   int     // adapters that a server holds at most
+	LoadsPerSecond float64 // rate limit of the weight store, for all servers together
 	Models         []Model
 }
 
-// Model is a model that an engine may hold, with its adapters.
+// Model is a model that an engine may load, with its adapters.
 type Model struct {
 	Name      string
 	MemoryMB  float64
-	LoadTime  time.Duration // from the weight store
-	Adapters  int           // named a1, a2 and so on
+	LoadTime  time.Duration // time to load it from the weight store
+	Adapters  int           // number of adapters; AdapterName returns their names
 	AdapterMB float64
 }
 
-// Limits bound what a caller may send, and how long it may take.
+// Limits bounds the size of callers' requests and the time to receive them.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -80,7 +83,7 @@
 	IdleTimeout   time.Duration
 }
 
-// Server is a backend server as it last described itself.
+// Server is a backend server, as described by its newest entry in the store.
 type Server struct {
 	ID       string
 	Service  string
@@ -88,20 +91,21 @@
 	Domain   string // its failure domain
 	Slots    int
 	Leaving  bool
-	Born     time.Time // its start; tells a restarted server from the one before under the same id
-	Sequence int64     // orders that it accepted since its start
+	Born     time.Time // time of its start, which differs between restarts under one id
+	Sequence int64     // number of orders accepted since its start
 	Models   []HeldModel
 	OnDisk   []string // models that it can load without the weight store
 }
 
-// HeldModel is a model that a server holds, with those of its adapters that it holds.
+// HeldModel is a model that a server has loaded, with the loaded ones of its adapters.
 type HeldModel struct {
 	Name     string
 	Version  int64
 	Adapters []string
 }
 
-// Holds says whether the server holds the model and, if one is named, its adapter.
+// Holds reports whether the server has loaded the model and, if adapter is not empty,
+// the adapter.
 func (s *Server) Holds(model, adapter string) bool {
 	for _, m := range s.Models {
 		if m.Name != model {
@@ -119,7 +123,8 @@
 	return false
 }
 
-// Equal says whether two descriptions differ in nothing that a decision rests on.
+// Equal reports whether two descriptions are the same in all that decisions depend on.
+// It ignores Sequence.
 func (s *Server) Equal(o *Server) bool {
 	if s.ID != o.ID || s.Service != o.Service || s.Addr != o.Addr || s.Domain != o.Domain || s.Slots != o.Slots ||
 		s.Leaving != o.Leaving || !s.Born.Equal(o.Born) {
@@ -132,23 +137,23 @@
 	return m.Name == o.Name && m.Version == o.Version && slices.Equal(m.Adapters, o.Adapters)
 }
 
-// Node is an instance's own settings, from the platform.
+// Node holds an instance's own settings, which the platform provides.
 type Node struct {
 	Name        string
 	Domain      string // its failure domain
 	IP          string
-	CallersAddr string // IP:port where callers connect
+	CallersAddr string // IP:port that callers connect to
 	HealthAddr  string // IP:port of the readiness check
 	PeerAddr    string // IP:port for other instances
 	MetricsAddr string // IP:port of the metrics; empty: only beside the readiness check
 	StoreAddr   string // IP:port of the platform's store
 	MemoryMB    int
-	Cores       float64  // of processor that it may use; 0: not said
+	Cores       float64  // CPU cores that it may use; 0: not set
 	Domains     []string // all failure domains
 
-	Grace        time.Duration // from SIGTERM to SIGKILL
-	LeaseTTL     time.Duration // orders of two holders are at least this far apart
-	RetryRatio   float64       // repeats allowed for each request, over all instances
-	RetryWindow  time.Duration
-	RetryReserve float64 // repeats allowed beyond the ratio in each window, over all instances
+	Grace        time.Duration // time from SIGTERM to SIGKILL
+	LeaseTTL     time.Duration // the minimum time between orders of two successive lease holders
+	RetryRatio   float64       // retries allowed per request, over all instances
+	RetryWindow  time.Duration // period that the retry limits are counted in
+	RetryReserve float64       // retries allowed beyond the ratio in each window, over all instances
 }
--- a/topology/topology_test.go
+++ b/topology/topology_test.go
@@ -79,12 +79,12 @@
 func TestFleetAppliesChanges(t *testing.T) {
 	f := NewFleet()
 	require.True(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0), serverEntry("b", 0)}))
-	require.False(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0)}), "a heartbeat changes nothing")
-	require.True(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", time.Second)}), "a start under the same id is another server")
-	require.False(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0)}), "an entry of the earlier start that came late")
+	require.False(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0)}), "a heartbeat must not change the list")
+	require.True(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", time.Second)}), "a restart under the same id must change the list")
+	require.False(t, f.ApplyChanges(testStart, []ServerChange{serverEntry("a", 0)}), "an outdated entry of the earlier start must be ignored")
 	require.True(t, f.ApplyChanges(testStart, []ServerChange{{ID: "b"}}))
 	require.Len(t, f.Servers(), 1)
-	require.True(t, f.Reset(testStart, nil), "what the newest entries don't name is gone")
+	require.True(t, f.Reset(testStart, nil), "servers without an entry must be removed")
 	require.Empty(t, f.Servers())
 }
 
@@ -98,7 +98,7 @@
 	require.True(t, f.RemoveExpired(testStart.Add(2100*time.Millisecond)))
 	require.Len(t, f.Servers(), 1)
 	require.Equal(t, "back", f.Servers()[0].ID)
-	require.True(t, f.ApplyChanges(testStart.Add(10*time.Second), []ServerChange{{ID: "back"}}), "long after the outage it is gone at once")
+	require.True(t, f.ApplyChanges(testStart.Add(10*time.Second), []ServerChange{{ID: "back"}}), "long after the outage the server must be removed at once")
 }
 
 func engineView() *View {
@@ -143,10 +143,10 @@
 	v.Held = HeldList{{Server: "e", Model: "new"}, {Server: "e", Model: "n", Dropped: true}}
 	v.Config.Services["llm"].Engine.Models[1].Name = "new"
 	tb = BuildTable("d", v, decide.RetryPolicy{})
-	require.Equal(t, 1, replicaCount(t, tb, "llm/new"), "its entry doesn't show it while the store is away")
+	require.Equal(t, 1, replicaCount(t, tb, "llm/new"), "a held model counts although the entry lacks it")
 	v.Held = HeldList{{Server: "e", Model: "m", Dropped: true}, {Server: "e", Model: "m", Adapter: "a2"}}
 	tb = BuildTable("d", v, decide.RetryPolicy{})
 	for _, target := range []string{"llm/m", "llm/m/a1", "llm/m/a2"} {
-		require.Equal(t, 0, replicaCount(t, tb, target), "a model that goes takes its adapters along")
+		require.Equal(t, 0, replicaCount(t, tb, target), "the adapters of a dropped model must be dropped too")
 	}
 }
