--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -1,5 +1,5 @@
-// Package hop knows the HTTP headers that concern one connection and aren't
-// passed on (RFC 9110, 7.6.1).
+// Package hop removes hop-by-hop HTTP headers, which concern one connection and must not
+// be forwarded (RFC 9110, section 7.6.1).
 package hop
 
 import (
@@ -12,8 +12,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Drop removes the headers that concern one connection, with those that its
-// Connection header names.
+// RemoveHeaders removes the hop-by-hop headers from h, and those that its Connection
+// header names.
 func RemoveHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -17,7 +17,7 @@
 		require.False(t, w.Disarm(2*time.Second))
 		w.Arm()
 		time.Sleep(1900 * time.Millisecond)
-		require.False(t, w.Disarm(2*time.Second), "armed with the newest limit")
+		require.False(t, w.Disarm(2*time.Second), "Arm must use the newest limit")
 		w.Arm()
 		time.Sleep(2100 * time.Millisecond)
 		require.True(t, w.Disarm(2*time.Second))
--- a/internal/testmain/testmain.go
+++ b/internal/testmain/testmain.go
@@ -1,4 +1,4 @@
-// Package testmain runs the tests of a package that uses testing/synctest.
+// Package testmain provides a TestMain for packages that use testing/synctest.
 package testmain
 
 import (
@@ -9,20 +9,20 @@
 	"go.uber.org/goleak"
 )
 
-// Run runs the tests on one processor and fails if a goroutine is left over.
+// Run runs the tests with GOMAXPROCS=1 and fixed seeds, and fails if goroutines leak.
 //
-// One processor, since the race detector of this Go release crashes now and
-// then ("CHECK failed: tsan_rtl.cpp") when several processors run the timers of
-// one synctest bubble: 3 of 6 runs of package claims, and none of 12 on one.
-// Data races are still found: the detector goes by what happens before what.
+// GOMAXPROCS is 1 because the race detector of this Go release crashes at times ("CHECK
+// failed: tsan_rtl.cpp") when several processors run the timers of one synctest bubble:
+// in 3 of 6 runs of package claims, against 0 of 12 runs with one processor. Data races
+// are still found, since the detector relies on the happens-before order.
 func Run(m *testing.M) {
 	FixSeeds()
 	runtime.GOMAXPROCS(1)
 	goleak.VerifyTestMain(m)
 }
 
-// FixSeeds fixes the seed of a package's property tests, so that a run says the
-// same each time; -rapid.seed on the command line goes before it.
+// FixSeeds sets a fixed seed for a package's property tests, so that runs are
+// reproducible. -rapid.seed on the command line takes precedence.
 func FixSeeds() {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
 		if flag.Lookup(name) == nil {
--- a/netconn/netconn.go
+++ b/netconn/netconn.go
@@ -1,7 +1,7 @@
-// Package netconn makes the HTTP connections to servers, the store and other
-// instances. A network that is cut answers nothing, and an open connection may
-// go silent for good while new ones work: every connection here finds that out
-// by itself.
+// Package netconn makes the HTTP connections to servers, the store and other instances. In
+// a network partition nothing reports an error, and an open connection may stay silent
+// forever while new ones work. Each connection therefore detects a silent peer by itself,
+// with TCP keep-alive probes and a limit on unacknowledged data.
 package netconn
 
 import (
@@ -15,45 +15,44 @@
 )
 
 const (
-	// dialTimeout is how long a new connection may take. One takes a few
-	// milliseconds; to a network that is cut off none ever comes, and a request
-	// that waits for one could be served elsewhere.
+	// dialTimeout is how long opening a connection may take. It usually takes a few
+	// milliseconds. In a network partition it never succeeds, and the request could be
+	// served elsewhere meanwhile.
 	dialTimeout = 500 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged before the
-	// connection counts as broken: many round trips, and less than a caller waits.
+	// unackedTimeout is how long sent data may stay unacknowledged before the connection
+	// is closed: many round trips, but less than callers wait.
 	unackedTimeout = 2 * time.Second
-	// probeIdle, probeEvery and probes find a silent connection within three
-	// seconds; one lost probe alone breaks nothing.
+	// With these TCP keep-alive settings a silent connection is detected within three
+	// seconds, and a single lost probe does not close the connection.
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
-	// buffer is the size of a connection's read and write buffers: an event of a
-	// stream or a small answer fits, and a thousand connections take 8 MB.
+	// bufferSize is the size of a connection's read and write buffers, in bytes. A
+	// stream's event or a small response fits, and a thousand connections take 8 MB.
 	bufferSize = 4 << 10
 )
 
-// Dialer opens connections that notice a silent other side.
+// Dialer returns a dialer whose connections detect a silent peer.
 func Dialer() *net.Dialer {
 	return &net.Dialer{
 		Timeout:         dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeInterval, Count: probeCount},
 		Control: func(_, _ string, c syscall.RawConn) error {
-			var set error
+			var sockoptErr error
 			err := c.Control(func(fd uintptr) {
-				set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+				sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return set
+			return sockoptErr
 		},
 	}
 }
 
-// dialReset opens a connection that is reset when it is closed. What was sent on
-// it and has not arrived is then lost: a request that was given up on while the
-// network was cut would otherwise be delivered once it heals, seconds after a
-// newer one.
+// dialWithReset opens a connection that is reset when it is closed, which discards sent
+// data that has not arrived. Otherwise a request that was abandoned in a network partition
+// would be delivered after the partition, seconds after a newer request.
 func dialWithReset(ctx context.Context, network, addr string) (net.Conn, error) {
 	conn, err := Dialer().DialContext(ctx, network, addr)
 	if err != nil {
@@ -61,21 +60,21 @@
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		if err := tcp.SetLinger(0); err != nil {
-			_ = conn.Close() // the connection is of no use
+			_ = conn.Close() // the connection is unused
 			return nil, err
 		}
 	}
 	return conn, nil
 }
 
-// Transport returns a transport that keeps at most idle unused connections to
-// each address, for at most idleTime.
-func Transport(idle int, idleTime time.Duration) *http.Transport {
+// Transport returns a transport that keeps at most maxIdle idle connections to each
+// address, each for at most idleTimeout.
+func Transport(maxIdle int, idleTimeout time.Duration) *http.Transport {
 	return &http.Transport{
 		DialContext:         dialWithReset,
-		DisableCompression:  true, // bodies pass as they are
-		MaxIdleConnsPerHost: idle,
-		IdleConnTimeout:     idleTime,
+		DisableCompression:  true, // bodies are relayed unchanged
+		MaxIdleConnsPerHost: maxIdle,
+		IdleConnTimeout:     idleTimeout,
 		ReadBufferSize:      bufferSize,
 		WriteBufferSize:     bufferSize,
 	}
@@ -88,8 +87,8 @@
 type IdleClosingTransport struct{ *http.Transport }
 
 // NewIdleClosingTransport returns an IdleClosingTransport with the arguments of Transport.
-func NewIdleClosingTransport(idle int, idleTime time.Duration) *IdleClosingTransport {
-	return &IdleClosingTransport{Transport(idle, idleTime)}
+func NewIdleClosingTransport(maxIdle int, idleTimeout time.Duration) *IdleClosingTransport {
+	return &IdleClosingTransport{Transport(maxIdle, idleTimeout)}
 }
 
 // RoundTrip implements http.RoundTripper.
