--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -155,11 +155,11 @@
 func (c *call) abandonAttempt(ctx context.Context, d decide.Decision, f decide.Failure) string {
 	c.mayHaveRun = c.mayHaveRun || !f.Unsent
 	c.relay.dispatcher.abandon(c)
-	why := "deadline passed before the response was complete"
+	reason := "deadline passed before the response was complete"
 	if c.req.Context().Err() != nil {
-		why = "caller disconnected before the response was complete"
+		reason = "caller disconnected before the response was complete"
 	}
-	c.logFailedAttempt(d, why, 0)
+	c.logFailedAttempt(d, reason, 0)
 	return c.endOnContextDone(ctx)
 }
 
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -1,8 +1,8 @@
 // Package relay is a reverse proxy from callers to backend servers. It routes
 // requests by host and longest path prefix and treats bodies as opaque. A Relay
 // handles each HTTP request as a call; its dispatcher owns a decide.Scheduler,
-// which decides about queueing, refusal, routing and retries. Package caller uses
-// the same scheduler for the API of models.
+// which decides about queueing, refusal, routing and retries. Package caller, the
+// other interface for callers, uses decide.Scheduler too.
 //
 // Each request gets one final response. A status that promises "not run" is sent
 // only if no attempt can have run.
@@ -38,7 +38,7 @@
 // RequestHeaders holds the decoded headers of a caller's request. A zero value means
 // that the header is absent.
 type RequestHeaders struct {
-	ID           string // chosen by the caller; differs between its own retries
+	ID           string // chosen by the caller, a new one for each of its own attempts
 	Model        string
 	Adapter      string
 	Timeout      time.Duration // how long the caller waits for the response
@@ -151,7 +151,7 @@
 }
 
 // Rates returns this instance's report to the lease holder on servers' rate
-// limits: the known limits, and how many requests it has for each server.
+// limits: the known limits, and how many requests it wants to send to each server.
 func (r *Relay) Rates() []decide.RateSaid { return r.dispatcher.rates() }
 
 // RateLimitedServers returns how many servers name a rate limit.
--- a/relay/stream.go
+++ b/relay/stream.go
@@ -30,13 +30,13 @@
 // relayStream relays an event stream as it arrives. A resumable stream is sent in whole
 // events only, so that another server can continue after the last one.
 func (c *call) relayStream(ctx context.Context, d decide.Decision, res *http.Response, sent time.Time, watch *stall.Watchdog) string {
-	whole := c.route.Retry == topology.Resumable
+	resumable := c.route.Retry == topology.Resumable
 	buf := streamBuffers.Get().(*[]byte)
 	defer streamBuffers.Put(buf)
 	var pending []byte // the received part of an incomplete event
-	var first time.Time
-	before := c.stream.events
-	flush := http.NewResponseController(c.w)
+	var firstData time.Time
+	eventsBefore := c.stream.events
+	rc := http.NewResponseController(c.w)
 	for {
 		n, err := res.Body.Read(*buf)
 		if n > 0 {
@@ -46,16 +46,16 @@
 				// response is still possible.
 				return c.handleAttemptError(ctx, d, context.Cause(ctx))
 			}
-			if first.IsZero() {
-				first = time.Now()
+			if firstData.IsZero() {
+				firstData = time.Now()
 				c.relay.dispatcher.streamStarted(c)
 			}
 			watch.Arm()
 			data := (*buf)[:n]
-			if whole {
+			if resumable {
 				data, pending = splitWholeEvents(append(pending, data...))
 			}
-			if werr := c.sendEvents(res, data, flush); werr != nil {
+			if werr := c.sendEvents(res, data, rc); werr != nil {
 				c.relay.dispatcher.abandon(c)
 				c.logEnd("caller_left", res.StatusCode)
 				return outcomeCallerLeft
@@ -71,14 +71,14 @@
 	if !c.stream.started { // a stream without events is complete, too
 		c.startStream(res)
 	}
-	events := c.stream.events - before
-	stride := 1
+	events := c.stream.events - eventsBefore
+	tokensPerEvent := 1
 	if c.service.Engine != nil {
-		stride = c.service.Engine.TokensPerEvent
+		tokensPerEvent = c.service.Engine.TokensPerEvent
 	}
-	o := decide.Outcome{Complete: true, Total: time.Since(sent), Tokens: events * stride}
-	if !first.IsZero() {
-		o.FirstToken = first.Sub(sent)
+	o := decide.Outcome{Complete: true, Total: time.Since(sent), Tokens: events * tokensPerEvent}
+	if !firstData.IsZero() {
+		o.FirstToken = firstData.Sub(sent)
 	}
 	c.relay.dispatcher.completed(c, o)
 	c.logEnd(reasonAnswered, res.StatusCode)
@@ -110,7 +110,7 @@
 }
 
 // sendEvents sends data of the stream to the caller and flushes it.
-func (c *call) sendEvents(res *http.Response, data []byte, flush *http.ResponseController) error {
+func (c *call) sendEvents(res *http.Response, data []byte, rc *http.ResponseController) error {
 	if len(data) == 0 {
 		return nil
 	}
@@ -131,7 +131,7 @@
 	if _, err := c.w.Write(data); err != nil {
 		return err
 	}
-	return flush.Flush()
+	return rc.Flush()
 }
 
 // eventTerminator is the blank line that ends an event of a stream.
