--- a/instance/follow_test.go
+++ b/instance/follow_test.go
@@ -70,7 +70,7 @@
 // report and list of servers.
 func newInformedInstance(now time.Time) *Instance {
 	i := &Instance{lease: residency.NewLease(nil, "a", time.Second, func() time.Duration { return 0 }, nil), servers: newServerList()}
-	i.view.Config, i.view.Nodes = &topology.Config{Version: 7}, map[string]int{"d": 295}
+	i.view.Config, i.view.InstancesByDomain = &topology.Config{Version: 7}, map[string]int{"d": 295}
 	i.peerStatus = peerStatus{receivedAt: now, version: 7, confirmedAt: now}
 	i.servers.holderListValidUntil = now.Add(holderListTTL)
 	return i
@@ -108,6 +108,6 @@
 	i.lease.Heard(true)
 	require.False(t, i.configConfirmedByPeer(now), "a candidate reads configurations for the others")
 	i = newInformedInstance(now)
-	i.view.Nodes = map[string]int{"d": manyInstances}
+	i.view.InstancesByDomain = map[string]int{"d": manyInstances}
 	require.False(t, i.configConfirmedByPeer(now), "few instances each read for themselves")
 }
--- a/instance/front.go
+++ b/instance/front.go
@@ -161,7 +161,7 @@
 // drain fails the health checks, keeps serving until callers have switched to other
 // instances, and lets the requests in flight finish within the grace period.
 func (f *frontend) drain() {
-	f.instance.log.WithField("in_hand", f.instance.relay.InHand()).Info("draining")
+	f.instance.log.WithField("in_hand", f.instance.relay.ActiveRequests()).Info("draining")
 	closeAt := time.Now().Add(f.instance.node.Load().Grace - drainCloseMargin)
 	f.draining.Store(true)
 	f.instance.relay.Drain()
@@ -181,5 +181,5 @@
 	if err := group.Wait(); err != nil {
 		f.instance.log.WithField("error", err).Warn("requests are broken off")
 	}
-	f.instance.log.WithField("in_hand", f.instance.relay.InHand()).Info("drained")
+	f.instance.log.WithField("in_hand", f.instance.relay.ActiveRequests()).Info("drained")
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -81,10 +81,10 @@
 	i.relay = relay.New(relay.Options{Headers: o.Headers, Log: o.Log, Metrics: m, Rand: o.Rand, OnLeaving: i.addLeavingServer})
 	i.frontend = newFrontend(i)
 	i.node.Store(o.Node)
-	i.view.Expected = true
-	i.view.Nodes = map[string]int{o.Node.Domain: assumedInstancesPerDomain}
+	i.view.LoadOnDemand = true
+	i.view.InstancesByDomain = map[string]int{o.Node.Domain: assumedInstancesPerDomain}
 	for _, domain := range o.Node.Domains {
-		i.view.Nodes[domain] = assumedInstancesPerDomain
+		i.view.InstancesByDomain[domain] = assumedInstancesPerDomain
 	}
 	i.lease = residency.NewLease(o.Group, memberName(o.Node, time.Now()), o.Node.LeaseTTL, o.Clock, o.Log)
 	// The store may leave a read unanswered while it answers others. Without a restart
@@ -289,7 +289,7 @@
 func (i *Instance) retryPolicy(v *topology.View) decide.RetryPolicy {
 	n := i.node.Load()
 	instances := v.Instances()
-	if !v.Counted {
+	if !v.InstancesKnown {
 		instances = decide.MostInstances
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
--- a/instance/late_config_test.go
+++ b/instance/late_config_test.go
@@ -117,7 +117,7 @@
 	source := &lossySource{lossBegin: start.Add(c.lostAfter), lossEnd: start.Add(c.lostAfter + c.lostFor)}
 	source.changedAt = source.lossEnd.Add(c.changedAfter)
 	i := newTestInstance(source)
-	i.view.Nodes = map[string]int{"d": c.instances}
+	i.view.InstancesByDomain = map[string]int{"d": c.instances}
 	i.lease.Heard(c.candidate)
 	ctx, cancel := context.WithCancel(t.Context())
 	var duties sync.WaitGroup
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -74,25 +74,27 @@
 }
 
 // Ended implements relay.Metrics.
-func (m *metrics) Ended(outcome string, duration time.Duration) {
+func (m *metrics) ObserveRequest(outcome string, duration time.Duration) {
 	m.requests.WithLabelValues(outcome).Inc()
 	m.duration.Observe(duration.Seconds())
 }
 
 // FirstByte implements relay.Metrics.
-func (m *metrics) FirstByte(took time.Duration) { m.firstByte.Observe(took.Seconds()) }
+func (m *metrics) ObserveFirstByte(took time.Duration) { m.firstByte.Observe(took.Seconds()) }
 
 // Waited implements relay.Metrics.
-func (m *metrics) Waited(took time.Duration) { m.wait.Observe(took.Seconds()) }
+func (m *metrics) ObserveQueueTime(took time.Duration) { m.wait.Observe(took.Seconds()) }
 
 // Gap implements relay.Metrics.
-func (m *metrics) Gap(longest time.Duration) { m.eventGap.Observe(longest.Seconds()) }
+func (m *metrics) ObserveStreamGap(longest time.Duration) { m.eventGap.Observe(longest.Seconds()) }
 
 // Decided implements relay.Metrics.
-func (m *metrics) Decided(action, reason string) { m.decisions.WithLabelValues(action, reason).Inc() }
+func (m *metrics) CountDecision(action, reason string) {
+	m.decisions.WithLabelValues(action, reason).Inc()
+}
 
 // SentLimited implements relay.Metrics.
-func (m *metrics) SentLimited() { m.sentRateLimited.Inc() }
+func (m *metrics) CountRateLimitedAttempt() { m.sentRateLimited.Inc() }
 
 // countOrder counts an order to a server by its result.
 func (m *metrics) countOrder(result string) { m.orders.WithLabelValues(result).Inc() }
@@ -126,9 +128,9 @@
 	g("store_down", "1 while the store doesn't answer this instance.", func() float64 { return boolToFloat(i.storeIsDown()) })
 	g("lease_held", "1 while this instance holds the lease.", func() float64 { return boolToFloat(i.lease.Holds()) })
 	g("instances", "Live instances.", func() float64 { return float64(i.instanceCount()) })
-	g("servers_rate_limited", "Servers that name a rate limit.", func() float64 { return float64(i.relay.RateLimited()) })
-	g("servers_paused", "Servers that get no requests from this instance until their Retry-After has passed.", func() float64 { return float64(i.relay.Paused()) })
-	g("requests_in_hand", "Requests in hand.", func() float64 { return float64(i.relay.InHand()) })
+	g("servers_rate_limited", "Servers that name a rate limit.", func() float64 { return float64(i.relay.RateLimitedServers()) })
+	g("servers_paused", "Servers that get no requests from this instance until their Retry-After has passed.", func() float64 { return float64(i.relay.PausedServers()) })
+	g("requests_in_hand", "Requests in hand.", func() float64 { return float64(i.relay.ActiveRequests()) })
 }
 
 func boolToFloat(b bool) float64 {
--- a/instance/servers.go
+++ b/instance/servers.go
@@ -93,7 +93,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.readPosition = noPosition
-	l.fleet.StoreBack(now)
+	l.fleet.StoreRecovered(now)
 }
 
 // applyRead applies a read, and calls onChange after a snapshot or if anything but
@@ -108,9 +108,9 @@
 	if r.snapshot {
 		changed = l.fleet.Reset(now, r.changes)
 	} else {
-		changed = l.fleet.Apply(now, r.changes)
+		changed = l.fleet.ApplyChanges(now, r.changes)
 	}
-	changed = l.fleet.Expire(now) || changed
+	changed = l.fleet.RemoveExpired(now) || changed
 	l.readPosition, l.asOf = r.next, now
 	if changed || r.snapshot {
 		onChange(l.fleet.Servers())
@@ -122,7 +122,7 @@
 func (l *serverList) onStoreReturn(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fleet.StoreBack(now)
+	l.fleet.StoreRecovered(now)
 }
 
 func (l *serverList) digest() uint64 {
@@ -137,7 +137,7 @@
 func (l *serverList) stepsSince(now time.Time, digest uint64, loads map[string]residency.Load) *exchange.ServerSteps {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	deltas, ok := l.fleet.Since(digest)
+	deltas, ok := l.fleet.DeltasSince(digest)
 	if !ok || l.asOf.IsZero() {
 		return nil
 	}
@@ -188,7 +188,7 @@
 		deltas = append(deltas, deltaFromWire(s))
 	}
 	before := l.fleet.Digest()
-	if l.fleet.Follow(deltas, steps.GetDigest()) {
+	if l.fleet.ApplyDeltas(deltas, steps.GetDigest()) {
 		l.readPosition, l.asOf, l.holderListValidUntil = topology.Position{Era: steps.GetEra(), Offset: steps.GetPosition()}, stepsAsOf, stepsAsOf.Add(holderListTTL)
 	} else {
 		l.readPosition, l.holderListValidUntil = noPosition, time.Time{}
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -28,9 +28,9 @@
 // one of them holds the lease, which takes seconds. When each assumed eighteen instances,
 // together they would have sent 8,260 retries in ten seconds, of 630 allowed.
 func TestRetriesAreBoundedBeforeInstancesAreCounted(t *testing.T) {
-	v := topology.View{Nodes: map[string]int{}}
+	v := topology.View{InstancesByDomain: map[string]int{}}
 	for _, domain := range []string{"a", "b", "c", "d", "e", "f"} {
-		v.Nodes[domain] = assumedInstancesPerDomain
+		v.InstancesByDomain[domain] = assumedInstancesPerDomain
 	}
 	p := newRetryInstance().retryPolicy(&v)
 	require.LessOrEqual(t, totalRetries(p), 630.0)
@@ -38,6 +38,6 @@
 }
 
 func TestRetriesAreBoundedOnceInstancesAreCounted(t *testing.T) {
-	v := topology.View{Nodes: map[string]int{"a": 100, "b": 195}, Counted: true}
+	v := topology.View{InstancesByDomain: map[string]int{"a": 100, "b": 195}, InstancesKnown: true}
 	require.LessOrEqual(t, totalRetries(newRetryInstance().retryPolicy(&v)), 630.0)
 }
--- a/instance/sync.go
+++ b/instance/sync.go
@@ -94,7 +94,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-timer.C:
-		case <-s.instance.relay.Wanted():
+		case <-s.instance.relay.SyncNeeded():
 		}
 		if s.instance.ready() {
 			s.syncOnce(ctx)
@@ -372,8 +372,8 @@
 	if s.Ordering {
 		i.orderingAt = time.Now()
 	}
-	if len(s.Instances) > 0 && !(i.view.Counted && maps.Equal(i.view.Nodes, s.Instances)) {
-		i.view.Nodes, i.view.Counted = s.Instances, true
+	if len(s.Instances) > 0 && !(i.view.InstancesKnown && maps.Equal(i.view.InstancesByDomain, s.Instances)) {
+		i.view.InstancesByDomain, i.view.InstancesKnown = s.Instances, true
 		i.log.WithField("instances", s.Instances).Info("instances counted")
 		i.signalViewChanged()
 	}
@@ -387,13 +387,13 @@
 	}
 	servers := i.view.Servers
 	i.mu.Unlock()
-	i.relay.RatesTold(sent, s.Rates)
+	i.relay.ApplyRateShares(sent, s.Rates)
 	if s.Loads == nil {
 		return // the loads refer to another list of servers; the next sync brings matching ones
 	}
 	age := i.syncInterval() / 2 // average age of the other instances' reports
 	for n := range servers {
-		i.relay.Reported(servers[n].ID, s.Loads[servers[n].ID], age)
+		i.relay.UpdateRemoteLoad(servers[n].ID, s.Loads[servers[n].ID], age)
 	}
 }
 
@@ -401,8 +401,8 @@
 // holds. The caller must hold mu.
 func (i *Instance) updateExpected() {
 	expected := i.orderingAt.IsZero() || time.Since(i.orderingAt) < onDemandLoadTimeout
-	if expected != i.view.Expected {
-		i.view.Expected = expected
+	if expected != i.view.LoadOnDemand {
+		i.view.LoadOnDemand = expected
 		i.log.WithField("expected", expected).Info("models that no server holds are loaded on demand")
 		i.signalViewChanged()
 	}
--- a/internal/hop/hop.go
+++ b/internal/hop/hop.go
@@ -1,5 +1,5 @@
-// Package hop knows the HTTP headers that concern one connection and aren't
-// passed on (RFC 9110, 7.6.1).
+// Package hop removes hop-by-hop HTTP headers, which concern one connection and must not
+// be forwarded (RFC 9110, section 7.6.1).
 package hop
 
 import (
@@ -7,14 +7,14 @@
 	"strings"
 )
 
-var headers = []string{
+var connectionHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// Drop removes the headers that concern one connection, with those that its
-// Connection header names.
-func Drop(h http.Header) {
+// RemoveHeaders removes the hop-by-hop headers from h, and those that its Connection
+// header names.
+func RemoveHeaders(h http.Header) {
 	for _, list := range h["Connection"] {
 		for _, name := range strings.Split(list, ",") {
 			if name = strings.TrimSpace(name); name != "" {
@@ -22,7 +22,7 @@
 			}
 		}
 	}
-	for _, name := range headers {
+	for _, name := range connectionHeaders {
 		delete(h, name)
 	}
 }
--- a/internal/stall/stall_test.go
+++ b/internal/stall/stall_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestDisarmSaysWhetherTheAttemptHasEnded(t *testing.T) {
+func TestDisarmReportsExpiry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := Watch(t.Context(), time.Second, true)
 		defer w.Stop()
@@ -17,17 +17,17 @@
 		require.False(t, w.Disarm(2*time.Second))
 		w.Arm()
 		time.Sleep(1900 * time.Millisecond)
-		require.False(t, w.Disarm(2*time.Second), "armed with the newest limit")
+		require.False(t, w.Disarm(2*time.Second), "Arm must use the newest limit")
 		w.Arm()
 		time.Sleep(2100 * time.Millisecond)
 		require.True(t, w.Disarm(2*time.Second))
 		var silent *Error
 		require.ErrorAs(t, context.Cause(w.Context()), &silent)
-		require.Equal(t, 2*time.Second, silent.After)
+		require.Equal(t, 2*time.Second, silent.Limit)
 	})
 }
 
-func TestOneThatIsOffNeverEndsAnAttempt(t *testing.T) {
+func TestDisabledWatchdogNeverExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := Watch(t.Context(), time.Second, false)
 		time.Sleep(time.Minute)
--- a/topology/fleet.go
+++ b/topology/fleet.go
@@ -6,59 +6,60 @@
 	"time"
 )
 
-// Fleet holds the backend servers as the store's changes tell of them, or
-// another instance's steps. It is not safe for concurrent use.
+// Fleet holds the list of backend servers. It is updated from changes in the store or
+// from another instance's deltas. It is not safe for concurrent use.
 type Fleet struct {
-	servers map[string]Server
-	leaving map[string]time.Time // servers whose entry went, and until when they are kept
-	outage  time.Time            // when the store last came back
-	digest  uint64               // of the list as it is
-	steps   []step               // the newest
-	ids     []string             // of the servers, in order; nil: to be listed anew
+	servers          map[string]Server
+	pendingRemoval   map[string]time.Time // when to remove the servers that are kept without an entry
+	storeRecoveredAt time.Time            // when the store last became available again
+	digest           uint64               // of the current list
+	steps            []step               // the newest ones, oldest first
+	ids              []string             // of the servers, sorted; nil: outdated
 }
 
-// step is one step of the list, with the digest of the list after it.
+// step is a change of the list, with the digest of the list after the change.
 type step struct {
-	delta Delta
-	after uint64
+	delta       Delta
+	digestAfter uint64
 }
 
 const (
-	// lapsed is how long after the store came back a server is kept whose entry
-	// went: entries that ran out while the store was away are written again
-	// within about two seconds if their servers live. Counted from the store's return and
-	// not from when the entry went: one that leaves meanwhile would be used for two
-	// seconds more, longer than a server that leaves may be.
-	lapsed = 2100 * time.Millisecond
-	// fleetSteps is how many steps are kept for instances that are behind: some
-	// seconds' worth while every adapter of a large fleet is loaded.
-	fleetSteps = 2048
+	// entryRestoreWindow is how long after a store outage servers without an entry are
+	// kept. Entries that expired during the outage are written again within about two
+	// seconds if their servers are alive. The window starts when the store becomes
+	// available and not when an entry is removed: a server that shuts down in the
+	// window would otherwise be used for two more seconds, which is too long.
+	entryRestoreWindow = 2100 * time.Millisecond
+	// minKeptSteps is how many steps are kept at least for instances that are behind, and
+	// half of how many are kept at most. It covers some seconds while every adapter of a
+	// large fleet is loaded.
+	minKeptSteps = 2048
 )
 
 // NewFleet returns a fleet without servers.
 func NewFleet() *Fleet {
-	return &Fleet{servers: map[string]Server{}, leaving: map[string]time.Time{}}
+	return &Fleet{servers: map[string]Server{}, pendingRemoval: map[string]time.Time{}}
 }
 
-// StoreBack is told that the store answers again after it didn't.
-func (f *Fleet) StoreBack(now time.Time) { f.outage = now }
+// StoreRecovered records that the store is available again after an outage.
+func (f *Fleet) StoreRecovered(now time.Time) { f.storeRecoveredAt = now }
 
-// Apply takes in changes of entries, and says whether anything but the servers'
-// heartbeats changed.
-func (f *Fleet) Apply(now time.Time, changes []ServerChange) bool {
+// ApplyChanges applies changes of entries, and reports whether the list changed. A mere
+// heartbeat does not change the list.
+func (f *Fleet) ApplyChanges(now time.Time, changes []ServerChange) bool {
 	changed := false
 	for _, c := range changes {
 		if c.ID == "" {
 			continue
 		}
 		if c.Server == nil {
-			changed = f.gone(now, c.ID) || changed
+			changed = f.removeEntry(now, c.ID) || changed
 			continue
 		}
-		delete(f.leaving, c.ID)
+		delete(f.pendingRemoval, c.ID)
 		old, known := f.servers[c.ID]
 		if known && c.Server.Born.Before(old.Born) {
-			continue // an entry of an earlier start that came late
+			continue // an outdated entry of an earlier start
 		}
 		if known && old.Leaving && !c.Server.Leaving && c.Server.Born.Equal(old.Born) {
 			// The entry predates the start of leaving, as after the store was restored from an
@@ -69,10 +70,10 @@
 		}
 		switch {
 		case !known:
-			f.take(Delta{ID: c.ID, Server: c.Server})
+			f.applyDelta(Delta{ID: c.ID, Server: c.Server})
 			changed = true
 		case !old.Equal(c.Server):
-			f.take(deltaOf(&old, c.Server))
+			f.applyDelta(newDelta(&old, c.Server))
 			changed = true
 		}
 		f.servers[c.ID] = *c.Server
@@ -80,8 +81,8 @@
 	return changed
 }
 
-// take carries out a step and remembers it.
-func (f *Fleet) take(d Delta) {
+// applyDelta applies a delta and records the step.
+func (f *Fleet) applyDelta(d Delta) {
 	old, known := f.servers[d.ID]
 	if known {
 		f.digest -= old.digest()
@@ -89,7 +90,7 @@
 	if !known || d.Gone {
 		f.ids = nil
 	}
-	delete(f.leaving, d.ID)
+	delete(f.pendingRemoval, d.ID)
 	if d.Gone {
 		delete(f.servers, d.ID)
 	} else {
@@ -98,23 +99,23 @@
 		f.digest += next.digest()
 	}
 	f.steps = append(f.steps, step{d, f.digest})
-	if len(f.steps) >= 2*fleetSteps {
-		f.steps = slices.Clone(f.steps[fleetSteps:])
+	if len(f.steps) >= 2*minKeptSteps {
+		f.steps = slices.Clone(f.steps[minKeptSteps:])
 	}
 }
 
-// Digest identifies the list: two instances with the same digest have the same
-// servers, heartbeats apart.
+// Digest returns a hash of the list. Two instances with the same digest have the same
+// list, apart from heartbeats.
 func (f *Fleet) Digest() uint64 { return f.digest }
 
-// Since returns the steps from the list with a digest to the list as it is. It
-// returns false where that list isn't among the newest.
-func (f *Fleet) Since(digest uint64) ([]Delta, bool) {
+// DeltasSince returns the deltas from the list with the digest to the current list. It
+// returns false if the steps since that list are not kept.
+func (f *Fleet) DeltasSince(digest uint64) ([]Delta, bool) {
 	if digest == f.digest {
 		return nil, true
 	}
 	for n := len(f.steps) - 1; n >= 0; n-- {
-		if f.steps[n].after != digest {
+		if f.steps[n].digestAfter != digest {
 			continue
 		}
 		var out []Delta
@@ -126,59 +127,62 @@
 	return nil, false
 }
 
-// Follow carries out another instance's steps, and says whether they led to the
-// list with that digest. Where they don't, the list has to be read anew.
-func (f *Fleet) Follow(steps []Delta, digest uint64) bool {
+// ApplyDeltas applies another instance's deltas, and reports whether the result is the
+// list with the digest. If not, the list must be read from the store.
+func (f *Fleet) ApplyDeltas(steps []Delta, digest uint64) bool {
 	for _, d := range steps {
 		if _, known := f.servers[d.ID]; known || d.Server != nil {
-			f.take(d)
+			f.applyDelta(d)
 		}
 	}
 	return f.digest == digest
 }
 
-// Reset replaces all entries by the newest of each server.
+// Reset replaces all entries by the newest entry of each server, and reports whether the
+// list changed.
 func (f *Fleet) Reset(now time.Time, entries []ServerChange) bool {
 	listed := map[string]bool{}
 	for _, c := range entries {
 		listed[c.ID] = true
 	}
-	changed := f.Apply(now, entries)
+	changed := f.ApplyChanges(now, entries)
 	for _, id := range slices.Sorted(maps.Keys(f.servers)) {
 		if !listed[id] {
-			changed = f.gone(now, id) || changed
+			changed = f.removeEntry(now, id) || changed
 		}
 	}
 	return changed
 }
 
-// gone takes a server out whose entry went, later if its entry may only have
-// run out while the store was away.
-func (f *Fleet) gone(now time.Time, id string) bool {
+// removeEntry handles the removal of a server's entry, and reports whether the list
+// changed. The server is removed at once or, if the entry may only have expired during a
+// store outage, after entryRestoreWindow.
+func (f *Fleet) removeEntry(now time.Time, id string) bool {
 	if _, known := f.servers[id]; !known {
 		return false
 	}
-	if until := f.outage.Add(lapsed); !f.outage.IsZero() && now.Before(until) {
-		f.leaving[id] = until
+	if until := f.storeRecoveredAt.Add(entryRestoreWindow); !f.storeRecoveredAt.IsZero() && now.Before(until) {
+		f.pendingRemoval[id] = until
 		return false
 	}
-	f.take(Delta{ID: id, Gone: true})
+	f.applyDelta(Delta{ID: id, Gone: true})
 	return true
 }
 
-// Expire takes out the servers that were kept long enough.
-func (f *Fleet) Expire(now time.Time) bool {
+// RemoveExpired removes the servers that were kept without an entry and whose time is
+// over. It reports whether the list changed.
+func (f *Fleet) RemoveExpired(now time.Time) bool {
 	changed := false
-	for id, until := range f.leaving {
+	for id, until := range f.pendingRemoval {
 		if !now.Before(until) {
-			f.take(Delta{ID: id, Gone: true})
+			f.applyDelta(Delta{ID: id, Gone: true})
 			changed = true
 		}
 	}
 	return changed
 }
 
-// IDs returns the servers' ids in order. The slice must not be changed.
+// IDs returns the servers' sorted ids. The slice must not be modified.
 func (f *Fleet) IDs() []string {
 	if f.ids == nil {
 		f.ids = slices.Sorted(maps.Keys(f.servers))
@@ -186,7 +190,7 @@
 	return f.ids
 }
 
-// Servers returns the servers by id.
+// Servers returns the servers, sorted by id.
 func (f *Fleet) Servers() []Server {
 	out := make([]Server, 0, len(f.servers))
 	for _, id := range f.IDs() {
