--- a/decide/types.go
+++ b/decide/types.go
@@ -1,7 +1,10 @@
-// Package decide holds the decisions under load: admit, queue, refuse, route,
-// retry, place and shift. It does no I/O, starts no goroutine and reads no
-// clock: time and the random source are arguments, so that each decision can
-// be tested without sockets.
+// Package decide makes the request and placement decisions under load.
+//
+// A Scheduler runs in each instance and admits, queues, refuses, routes and retries
+// requests by the routing Table that it was last given. A Planner decides which models and
+// adapters are placed on which backend servers. The package does no I/O, starts no
+// goroutines and reads no clock: time and the random source are arguments, so that
+// decisions can be tested without sockets.
 package decide
 
 import (
@@ -10,58 +13,57 @@
 	"greengageferry/infra"
 )
 
-// Server is a backend server as the routing sees it.
+// Server is a backend server in the routing table.
 type Server struct {
 	ID            string
 	Addr          string // IP:port
-	Pool          string // a pool's or a plain service's name
+	Pool          string // name of its pool or plain service
 	FailureDomain string
-	Slots         int    // requests that it batches at most; for a plain service its concurrency
-	Leaving       bool   // gets no new work
-	Start         string // tells a server that started again from the one before; may be empty
+	Slots         int    // maximum batch size; for a plain service its maximum concurrency
+	Leaving       bool   // it is draining and gets no new requests
+	Start         string // identifies this start of the server process; differs after a restart; may be empty
 }
 
-// Replica is a place where a target can be served.
+// Replica is a server that is ready to serve a target.
 type Replica struct {
 	Server  int // index into Table.Servers
 	Version string
 }
 
-// Target is something that callers ask for by name: a model, an adapter or a
-// plain service.
+// Target is what callers request by name: a model, an adapter or a plain service.
 type Target struct {
-	Name       string
-	Partner    string // its owner
-	Pool       string // of the servers that it can be served by
-	Model      string // the model to name to the engine; empty for a plain service
-	Adapter    string
-	Service    bool
-	MaxTokens  int           // the most that one answer may have
-	FirstToken time.Duration // target for the first token
-	PerToken   time.Duration // target between tokens
-	Timeout    time.Duration // the deadline where the caller sets none
-	Replicas   []Replica     // ready ones, newest version first
-	// Expected says that a replica is being made where there is none, so that
-	// requests wait for it until their deadline instead of being refused.
-	Expected bool
+	Name             string
+	Partner          string // owner
+	Pool             string // pool of the servers that can serve the target; empty: not known
+	Model            string // model name in requests to the engine; empty for a plain service
+	Adapter          string
+	Service          bool
+	MaxTokens        int           // limit for one answer
+	FirstTokenTarget time.Duration // latency objective from arrival to the first token
+	PerTokenTarget   time.Duration // latency objective between tokens
+	Timeout          time.Duration // deadline of requests whose caller sets none; 0: defaultTimeout
+	Replicas         []Replica     // ready replicas, newest version first
+	// ReplicaPending is set while the first replica is being loaded. Requests then wait
+	// for it until their deadline instead of being refused.
+	ReplicaPending bool
 }
 
-// Table is what routing knows of the fleet. It is immutable; a new one takes
-// its place when configuration, assignments or the instance list change.
+// Table is an immutable snapshot of the fleet for routing. A new one replaces it when the
+// configuration, the assignments or the list of instances changes.
 type Table struct {
 	OwnDomain string
 	Servers   []Server
 	Targets   map[string]*Target
-	Weights   map[string]float64 // by partner: parts of contended capacity
-	Entries   map[string]int     // by failure domain: entry instances there, from the platform's list
-	Retry     RetryPolicy        // the zero value takes the defaults
-	// NoServerQueue keeps requests from servers whose slots are all taken: for
-	// servers that give a request its slot by an order of their own.
-	NoServerQueue bool
-	NearFill      float64 // the part of its slots up to which a server of the own domain goes before others; 0: roomyPart
+	Weights   map[string]float64 // by partner: relative share of contended capacity
+	Entries   map[string]int     // by failure domain: number of instances, from the platform's list
+	Retry     RetryPolicy        // zero value: defaults
+	// NoServerQueue disables queueing at servers whose slots are all taken. It is for
+	// servers that assign slots in an order of their own.
+	NoServerQueue  bool
+	LocalFillLimit float64 // slot utilization, 0 to 1, up to which servers of the own domain are preferred; 0: lowFillFraction
 }
 
-// CountInstances returns how many instances there are in all failure domains.
+// CountInstances returns the number of instances in all failure domains.
 func CountInstances(byDomain map[string]int) int {
 	n := 0
 	for _, count := range byDomain {
@@ -70,111 +72,110 @@
 	return n
 }
 
-// Request is what the decisions need to know of a caller's request.
+// Request holds the properties of a caller's request that decisions depend on.
 type Request struct {
 	ID           string
 	Partner      string
 	Target       string
-	Priority     int // 0 is ordinary; higher goes first
+	Priority     int // 0 is normal; higher is served first
 	Arrived      time.Time
 	Deadline     time.Time
 	PromptBytes  int
-	PromptTokens int // 0: not said
+	PromptTokens int // 0: not known
 	MaxTokens    int
-	LengthHint   int    // the tokens that the caller expects of the answer; 0: not said
+	LengthHint   int    // answer length in tokens that the caller expects; 0: not known
 	Prefix       uint64 // infra.PrefixHash of the prompt; 0: none
-	Idempotent   bool   // may be dispatched again after an unknown outcome
-	Suspect      bool   // a backend server died while it ran it: kept apart from other suspects
-	MaxAttempts  int    // servers that it may be sent to; 0: maxAttempts
-	// Goal is the time from Arrived within which the first token is worth most,
-	// and StartBy when its caller leaves if none has come; zero: not known.
-	Goal    time.Duration
-	StartBy time.Time
+	Idempotent   bool   // may be retried after an attempt with unknown outcome
+	Suspect      bool   // a backend server crashed while running the request; it shares no server with other suspects
+	MaxAttempts  int    // limit of attempts that reach a server; 0: maxAttempts
+	// Goal is the target time from Arrived to the first token. At FirstTokenDeadline the
+	// caller gives up if no token has come. Zero: not known.
+	Goal               time.Duration
+	FirstTokenDeadline time.Time
 }
 
-// Action is what a decision asks for.
+// Action is what the owner of the scheduler has to do with a request.
 type Action int
 
 // The actions.
 const (
-	ActionDispatch Action = iota + 1 // send it to Decision.Server
-	ActionQueue                      // wait: a later decision follows
-	ActionRefuse                     // answer now: not run, or unknown if an attempt may have run
+	ActionDispatch Action = iota + 1 // send the request to Decision.Server
+	ActionQueue                      // keep the request waiting; a later decision follows
+	ActionRefuse                     // answer now: not run, or outcome unknown if an attempt may have run
 )
 
-// Decision is the verdict on one request.
+// Decision is what the scheduler decided about one request.
 type Decision struct {
 	Request    string
 	Action     Action
 	Server     Server        // with ActionDispatch
-	Version    string        // the model's version there
-	Reason     Reason        // why, for the log and for the caller
-	RetryAfter time.Duration // with ActionRefuse: when to come back
-	Inputs     Inputs        // what it rested on, for the log
+	Version    string        // with ActionDispatch: model version on the server
+	Reason     Reason        // for the log and the caller
+	RetryAfter time.Duration // with ActionRefuse: delay until the caller should retry
+	Inputs     Inputs        // for the log
 }
 
-// Reason names why a decision went as it did. It is part of the callers' and
-// the operators' interface.
+// Reason is the cause of a decision. Its values are part of the interface to callers and
+// operators.
 type Reason string
 
 // The reasons of decisions.
 const (
-	ReasonBest          Reason = "best_score"     // dispatched to the best replica
-	ReasonOnly          Reason = "only_replica"   // dispatched to the one that is left
-	ReasonQueued        Reason = "no_free_slot"   // waits for a slot
-	ReasonDeadline      Reason = "deadline"       // can't be done before its deadline
-	ReasonQueueFull     Reason = "queue_full"     // the queue's memory bound
-	ReasonShare         Reason = "partner_share"  // the partner is over its part while others wait
-	ReasonNoReplica     Reason = "no_replica"     // no ready replica that can be reached now
-	ReasonUnknownTarget Reason = "unknown_target" // nothing of that name is in force
-	ReasonRetryBudget   Reason = "retry_budget"   // retries would make an overload worse
-	ReasonMayHaveRun    Reason = "may_have_run"   // non-idempotent, and a byte may have left
-	ReasonShuttingDown  Reason = "shutting_down"  // the instance is ending
-	ReasonQuarantined   Reason = "quarantined"    // it crashes backend servers
-	ReasonCanceled      Reason = "caller_left"    // its caller has gone
+	ReasonBestScore     Reason = "best_score"     // dispatched to the replica with the best score
+	ReasonOnlyReplica   Reason = "only_replica"   // dispatched to the only eligible replica
+	ReasonNoFreeSlot    Reason = "no_free_slot"   // queued until a slot is free
+	ReasonDeadline      Reason = "deadline"       // can't complete before its deadline
+	ReasonQueueFull     Reason = "queue_full"     // the queue is full
+	ReasonPartnerShare  Reason = "partner_share"  // evicted from a full queue: its partner queues the most for its weight
+	ReasonNoReplica     Reason = "no_replica"     // no replica is ready and reachable
+	ReasonUnknownTarget Reason = "unknown_target" // no target has that name
+	ReasonRetryBudget   Reason = "retry_budget"   // retry budget or attempt limit exhausted
+	ReasonMayHaveRun    Reason = "may_have_run"   // not idempotent, and an earlier attempt may have run
+	ReasonShuttingDown  Reason = "shutting_down"  // the instance is shutting down
+	ReasonQuarantined   Reason = "quarantined"    // the request crashes backend servers
+	ReasonCallerLeft    Reason = "caller_left"    // the caller disconnected
 )
 
-// Inputs are the figures behind a decision, for its log line.
+// Inputs are the values behind a decision, for its log line.
 type Inputs struct {
-	Candidates int           // replicas considered
-	InFlight   int           // this instance's requests at the chosen server
-	Queued     int           // requests waiting here for the same target
-	Wait       time.Duration // expected wait for a slot
-	Service    time.Duration // expected time of service
-	Score      float64
-	Unread     int           // prompt tokens that the chosen server has yet to read, of all instances
-	First      time.Duration // expected time to the first token from now; 0: too little is known
-	LoadAge    time.Duration // of what was known of other instances' requests at the server; 0: nothing was
-	Limit      RateLimit     // that the chosen server names
-	Granted    bool          // under it, the lease holder granted this request; false: it was this instance's turn
-	Contending int           // requests of all instances that want what the server serves, where this instance has a quota of its slots; 0: it has none
+	Candidates       int           // number of replicas considered
+	InFlight         int           // requests of this instance at the chosen server
+	Queued           int           // requests queued at this instance for the same target
+	QueueWait        time.Duration // expected wait in this instance's queue
+	ServiceTime      time.Duration // expected service time
+	Score            float64
+	Unread           int           // estimated prompt tokens of all instances not yet prefilled at the chosen server
+	TimeToFirstToken time.Duration // expected from now; 0: not known
+	LoadAge          time.Duration // age of the server's newest load report; 0: none
+	ServerLimit      RateLimit     // of the chosen server
+	Granted          bool          // the lease holder granted this request under ServerLimit; false: sent in this instance's own turn
+	Contending       int           // requests of all instances that compete for the server's slots; 0: this instance has no quota there
 }
 
-// RateLimit is how many requests a server takes, of all instances together, while
-// it is in need.
+// RateLimit is the request rate, over all instances, that an overloaded server accepts.
 type RateLimit struct {
-	Named     bool    // false: the server takes what its slots hold
-	PerSecond float64 // requests; 0: none
+	Named     bool    // false: the server is limited by its slots alone
+	PerSecond float64 // requests per second; 0: the server accepts none
 }
 
-// Failure says how an attempt failed.
+// Failure describes how an attempt failed.
 type Failure struct {
 	Reason infra.Reason
 	Effect infra.Effect
-	Tokens int  // tokens that the caller already has
-	Crash  bool // the server died while it ran the attempt
-	// RetryAfter is how long the server asked this instance to send it no requests;
-	// 0: not said.
+	Tokens int  // tokens already delivered to the caller
+	Crash  bool // the server crashed while running the attempt
+	// RetryAfter is how long the server asked this instance to send it no requests; 0: not
+	// given.
 	RetryAfter time.Duration
-	// Unsent says that no connection was made: the attempt reached no server and
-	// counts neither against the request's servers nor as a repeat.
+	// Unsent is set if no connection was made. The attempt reached no server and counts
+	// neither against the attempt limit nor as a retry.
 	Unsent bool
 }
 
-// Outcome says how an attempt that was dispatched went.
+// Outcome describes how a dispatched attempt went.
 type Outcome struct {
 	Complete   bool
-	FirstToken time.Duration // from dispatch; 0: none came
-	Total      time.Duration // from dispatch
+	FirstToken time.Duration // from dispatch to the first token; 0: there was none
+	Total      time.Duration // from dispatch to the end
 	Tokens     int
 }
--- a/entry/holding.go
+++ b/entry/holding.go
@@ -160,10 +160,10 @@
 
 // capacityReasons are the refusals that more replicas would have prevented.
 var capacityReasons = map[decide.Reason]bool{
-	decide.ReasonDeadline:  true,
-	decide.ReasonQueueFull: true,
-	decide.ReasonShare:     true,
-	decide.ReasonNoReplica: true,
+	decide.ReasonDeadline:     true,
+	decide.ReasonQueueFull:    true,
+	decide.ReasonPartnerShare: true,
+	decide.ReasonNoReplica:    true,
 }
 
 // Decided implements caller.Observer.
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -100,14 +100,14 @@
 
 func modelTarget(name, partner, model, adapter string, m config.Model) *decide.Target {
 	return &decide.Target{
-		Name:       name,
-		Partner:    partner,
-		Model:      model,
-		Adapter:    adapter,
-		MaxTokens:  m.MaxTokens,
-		FirstToken: milliseconds(m.FirstTokenMS),
-		PerToken:   milliseconds(m.PerTokenMS),
-		Timeout:    milliseconds(m.TimeoutMS),
+		Name:             name,
+		Partner:          partner,
+		Model:            model,
+		Adapter:          adapter,
+		MaxTokens:        m.MaxTokens,
+		FirstTokenTarget: milliseconds(m.FirstTokenMS),
+		PerTokenTarget:   milliseconds(m.PerTokenMS),
+		Timeout:          milliseconds(m.TimeoutMS),
 	}
 }
 
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -287,10 +287,10 @@
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
 	return decide.RetryPolicy{
-		Share:        n.RetryRatio * retryRatioPart,
-		Reserve:      max(share*retryReservePart, 1),
-		Trickle:      share * retryTricklePart / max(n.RetryWindow.Seconds(), 1),
-		CountRefused: true,
+		Ratio:           n.RetryRatio * retryRatioPart,
+		Reserve:         max(share*retryReservePart, 1),
+		RefillPerSecond: share * retryTricklePart / max(n.RetryWindow.Seconds(), 1),
+		CountRefused:    true,
 	}
 }
 
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -22,7 +22,7 @@
 
 // repeats returns what all instances may repeat within a window where nothing
 // succeeds, each by a policy.
-func repeats(p decide.RetryPolicy) float64 { return shareholders * (p.Reserve + 10*p.Trickle) }
+func repeats(p decide.RetryPolicy) float64 { return shareholders * (p.Reserve + 10*p.RefillPerSecond) }
 
 // All were killed and start again: until one holds the lease, seconds later, none has
 // been told how many they are. Each took itself for one of eighteen, and together they
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -81,7 +81,7 @@
 // silent. Where it may not, silence is no reason to end the attempt: the server
 // may only be busy, and its answer is the only one that there can be.
 func (c *call) mayMove(d decide.Decision) bool {
-	return c.route.Repeat != topology.RunOnce && c.attempts < c.route.Attempts && d.Reason != decide.ReasonOnly
+	return c.route.Repeat != topology.RunOnce && c.attempts < c.route.Attempts && d.Reason != decide.ReasonOnlyReplica
 }
 
 // forward returns the request as the server gets it.
--- a/relay/call.go
+++ b/relay/call.go
@@ -143,7 +143,7 @@
 	}
 	if c.route.Stream {
 		r.Goal = c.route.Goal
-		r.StartBy = c.arrived.Add(max(leastPatience, goalsPatient*c.route.Goal, gapsPatient*c.route.MaxGap) - patienceMargin)
+		r.FirstTokenDeadline = c.arrived.Add(max(leastPatience, goalsPatient*c.route.Goal, gapsPatient*c.route.MaxGap) - patienceMargin)
 	}
 	return r
 }
--- a/relay/desk.go
+++ b/relay/desk.go
@@ -59,7 +59,7 @@
 func (d *desk) reported(server string, load residency.Load, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(d.scheduler.Reported(time.Now(), server, infra.Load{
+	d.carryOut(d.scheduler.UpdateLoad(time.Now(), server, infra.Load{
 		Running:      load.InFlight + d.inFlight[server],
 		UnreadTokens: load.Unread + d.scheduler.Unread(server),
 		Contending:   load.Contending,
@@ -113,14 +113,14 @@
 	a.Work += d.scheduler.Work(&r)
 	d.asked[c.target] = a
 	d.calls[c.id] = c
-	d.carryOut(d.scheduler.Arrive(c.arrived, r))
+	d.carryOut(d.scheduler.Submit(c.arrived, r))
 }
 
 // began tells the scheduler that the first byte of the call's stream has come.
 func (d *desk) began(c *call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.carryOut(d.scheduler.Began(time.Now(), c.id, c.at))
+	d.carryOut(d.scheduler.FirstTokenReceived(time.Now(), c.id, c.at))
 }
 
 // failed tells the scheduler that the call's attempt failed; a decision follows.
@@ -129,7 +129,7 @@
 	defer d.mu.Unlock()
 	server := c.at
 	d.leaveServer(c)
-	d.carryOut(d.scheduler.Failed(time.Now(), c.id, server, f))
+	d.carryOut(d.scheduler.AttemptFailed(time.Now(), c.id, server, f))
 }
 
 // ended tells the scheduler that the call is over.
@@ -148,7 +148,7 @@
 	defer d.mu.Unlock()
 	delete(d.calls, c.id)
 	d.leaveServer(c)
-	d.carryOut(d.scheduler.Left(time.Now(), c.id))
+	d.carryOut(d.scheduler.Cancel(time.Now(), c.id))
 }
 
 // drain refuses what waits and whatever arrives from now on.
@@ -222,7 +222,7 @@
 		"candidates": dec.Inputs.Candidates,
 		"in_flight":  dec.Inputs.InFlight,
 		"queued":     dec.Inputs.Queued,
-		"service_ms": dec.Inputs.Service.Milliseconds(),
+		"service_ms": dec.Inputs.ServiceTime.Milliseconds(),
 	}
 	if c != nil {
 		f["request"] = c.said.ID
@@ -234,17 +234,17 @@
 		f["server"] = dec.Server.ID
 		f["score"] = strconv.FormatFloat(dec.Inputs.Score, 'g', 3, 64)
 		f["unread_tokens"] = dec.Inputs.Unread
-		f["first_ms"] = dec.Inputs.First.Milliseconds()
+		f["first_ms"] = dec.Inputs.TimeToFirstToken.Milliseconds()
 		f["load_age_ms"] = dec.Inputs.LoadAge.Milliseconds()
-		if dec.Inputs.Limit.Named {
-			f["limit_per_s"], f["granted"] = dec.Inputs.Limit.PerSecond, dec.Inputs.Granted
+		if dec.Inputs.ServerLimit.Named {
+			f["limit_per_s"], f["granted"] = dec.Inputs.ServerLimit.PerSecond, dec.Inputs.Granted
 			d.metrics.SentLimited()
 		}
 		if dec.Inputs.Contending > 0 {
 			f["contending"] = dec.Inputs.Contending
 		}
 	case decide.ActionQueue:
-		f["wait_ms"] = dec.Inputs.Wait.Milliseconds()
+		f["wait_ms"] = dec.Inputs.QueueWait.Milliseconds()
 	case decide.ActionRefuse:
 		f["retry_after_ms"] = dec.RetryAfter.Milliseconds()
 	}
--- a/residency/ratelimit_test.go
+++ b/residency/ratelimit_test.go
@@ -186,9 +186,9 @@
 		n++
 		w.asked = append(w.asked, w.now)
 		i := w.rng.IntN(len(w.schedulers))
-		w.carryOut(i, w.schedulers[i].Arrive(w.now, decide.Request{
+		w.carryOut(i, w.schedulers[i].Submit(w.now, decide.Request{
 			ID: fmt.Sprint(n), Target: "m", Arrived: w.now, Deadline: w.now.Add(10 * time.Second), MaxAttempts: 1,
-			Goal: 400 * time.Millisecond, StartBy: w.now.Add(rationWaits),
+			Goal: 400 * time.Millisecond, FirstTokenDeadline: w.now.Add(rationWaits),
 		}))
 	}
 	next()
--- a/topology/table.go
+++ b/topology/table.go
@@ -55,12 +55,12 @@
 // runs there is still known.
 func BuildTable(domain string, v *View, retry decide.RetryPolicy) *decide.Table {
 	t := &decide.Table{
-		OwnDomain:     domain,
-		Targets:       map[string]*decide.Target{},
-		Entries:       v.Nodes,
-		Retry:         retry,
-		NearFill:      nearFill,
-		NoServerQueue: true,
+		OwnDomain:      domain,
+		Targets:        map[string]*decide.Target{},
+		Entries:        v.Nodes,
+		Retry:          retry,
+		LocalFillLimit: nearFill,
+		NoServerQueue:  true,
 	}
 	for _, s := range v.Servers {
 		slots := s.Slots
@@ -107,7 +107,7 @@
 				adapter = AdapterName(n)
 			}
 			name := TargetName(s.Name, m.Name, adapter)
-			t.Targets[name] = &decide.Target{Name: name, Pool: s.Name, Model: m.Name, Adapter: adapter, Expected: expected}
+			t.Targets[name] = &decide.Target{Name: name, Pool: s.Name, Model: m.Name, Adapter: adapter, ReplicaPending: expected}
 		}
 	}
 }
