--- a/decide/admit.go
+++ b/decide/admit.go
@@ -193,8 +193,8 @@
 	return shortest
 }
 
-// returns spreads the retry times given to refused callers, one for each slot that
-// frees, so that they don't all retry at once.
+// returns spreads the retry times given to refused callers, one for each slot that frees,
+// so that they don't all retry at once.
 type returns struct {
 	latest time.Time // latest retry time given
 }
--- a/decide/again_test.go
+++ b/decide/again_test.go
@@ -10,21 +10,21 @@
 	"greengageferry/infra"
 )
 
-// failureKinds are the ways in which an attempt may end without an answer.
+// attemptFailures are the ways in which an attempt can end without an answer.
 var attemptFailures = []Failure{
-	{Reason: infra.ReasonUnreachable, Effect: infra.EffectNone, Unsent: true}, // no connection
-	{Reason: infra.ReasonTimeout, Effect: infra.EffectNone, Unsent: true},     // the way is cut
-	{Reason: infra.ReasonOverloaded, Effect: infra.EffectNone},                // refused, not run
-	{Reason: infra.ReasonNotResident, Effect: infra.EffectNone},               // misdirected, not run
-	{Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown},            // reset after it was sent
-	{Reason: infra.ReasonTimeout, Effect: infra.EffectUnknown},                // silent
-	{Reason: infra.ReasonFailed, Effect: infra.EffectUnknown},                 // it ran, and failed
+	{Reason: infra.ReasonUnreachable, Effect: infra.EffectNone, Unsent: true}, // connection refused
+	{Reason: infra.ReasonTimeout, Effect: infra.EffectNone, Unsent: true},     // connection timeout
+	{Reason: infra.ReasonOverloaded, Effect: infra.EffectNone},                // refused before it ran
+	{Reason: infra.ReasonNotResident, Effect: infra.EffectNone},               // sent to the wrong server, not run
+	{Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown},            // connection reset after sending
+	{Reason: infra.ReasonTimeout, Effect: infra.EffectUnknown},                // no response
+	{Reason: infra.ReasonFailed, Effect: infra.EffectUnknown},                 // failed while running
 	{Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown, Crash: true},
 }
 
-// TestEveryHistoryOfFailuresKeepsWhatMayBeRepeated plays every sequence of up to
-// four failures for each kind of request, and checks each decision against what
-// the request's kind allows.
+// TestRetriesAreSafeForEveryFailureSequence runs every sequence of up to four failures for
+// idempotent and other requests with one to three attempts, and checks that no retry
+// exceeds the limits or repeats what may have run.
 func TestRetriesAreSafeForEveryFailureSequence(t *testing.T) {
 	const deepest = 4
 	for _, idempotent := range []bool{false, true} {
@@ -59,11 +59,11 @@
 	for _, k := range history {
 		require.Len(t, d, 1, name)
 		if d[0].Action != ActionDispatch {
-			break // final, or waits for a server that was left alone
+			break // refused, or waits for a server in backoff
 		}
-		require.False(t, mayHaveRun && !idempotent, "sent again though it may have run: %s", name)
+		require.False(t, mayHaveRun && !idempotent, "retried although it may have run: %s", name)
 		require.Less(t, sent, most, "sent to more servers than allowed: %s", name)
-		require.Less(t, crashes, maxCrashes, "sent again though it crashes servers: %s", name)
+		require.Less(t, crashes, maxCrashes, "retried although it crashed servers: %s", name)
 		f := attemptFailures[k]
 		if !f.Unsent {
 			sent++
--- a/decide/baselines_test.go
+++ b/decide/baselines_test.go
@@ -8,10 +8,10 @@
 	"greengageferry/infra"
 )
 
-// The simple policies that the experiment compares with. Each dispatches at
-// once: requests that find no slot wait at the server.
+// Baseline policies for the experiment. Each dispatches at once; requests that find no
+// slot wait at the server.
 
-// simple routes by a rule and knows nothing but its own requests.
+// baselineRouter routes by a fixed rule and knows only its own requests.
 type baselineRouter struct {
 	table     *Table
 	rng       *rand.Rand
@@ -19,7 +19,7 @@
 	inFlight  map[string]int
 	turn      int
 	rule      func(s *baselineRouter, t *Target) Replica
-	onRequest func(t *Target) // tells a loading placer of each request
+	onRequest func(t *Target) // notifies an on-demand placer of each request; may be nil
 }
 
 func newBaselineRouter(w *world, rule func(*baselineRouter, *Target) Replica) *baselineRouter {
@@ -86,7 +86,8 @@
 }
 func (s *baselineRouter) Tick(time.Time) []Decision { return nil }
 
-// static places once: a replica of each, then a second where room allows.
+// staticPlacement ignores demand: it places one replica of each model, then a second where
+// memory allows.
 type staticPlacement struct{ planner *Planner }
 
 func (s staticPlacement) Plan(in PlanInput) []Move {
@@ -94,9 +95,9 @@
 	return s.planner.Plan(in)
 }
 
-// lru places like static, then loads whatever callers wait for: a model whose
-// servers are full goes to the emptiest server, the least recently used there
-// making room.
+// lruPlacement starts like staticPlacement, then loads models on demand: a model whose
+// servers are full is loaded on the least loaded server, which evicts its least recently
+// used models.
 type lruPlacement struct {
 	staticPlacement
 	w *world
@@ -116,7 +117,7 @@
 			}
 			switch load := e.running + len(e.waiting); {
 			case has && (load < e.Slots || !e.serves(t.Name)):
-				return // a free slot, or it is being loaded
+				return // has a free slot or is being loaded
 			case has:
 			case d == l.d && load < e.Slots && (best == nil || load < best.running+len(best.waiting)):
 				best = e
@@ -147,11 +148,12 @@
 	}
 }
 
-// evictOldest drops the least recently used model that is also elsewhere.
-func (l *lruPlacement) evictOldest(e *simEngine, but string) bool {
+// evictOldest evicts the least recently used model that also has another replica, but not
+// the model except.
+func (l *lruPlacement) evictOldest(e *simEngine, except string) bool {
 	oldest := ""
 	for _, i := range e.Assigned {
-		if i.Adapter == "" && i.Model != but && l.copies(i.Model) > 1 &&
+		if i.Adapter == "" && i.Model != except && l.copies(i.Model) > 1 &&
 			(oldest == "" || e.used[infra.Key{Model: i.Model}].Before(e.used[infra.Key{Model: oldest}])) {
 			oldest = i.Model
 		}
@@ -159,7 +161,7 @@
 	for _, i := range slices.Clone(e.Assigned) {
 		if oldest != "" && i.Model == oldest {
 			l.w.unload(e, i)
-			e.Lingering = nil // what runs ends at once: a favor to the baseline
+			e.Lingering = nil // running requests end at once, which favors the baseline
 		}
 	}
 	return oldest != ""
@@ -205,7 +207,8 @@
 	{"lru-loading", lruRouter, func(w *world, d *simDomain) placer { return &lruPlacement{staticPlacement{NewPlanner()}, w, d} }},
 }
 
-// ablations show what each half of the policy brings.
+// ablations combine this project's routing with static placement, to measure the effect of
+// each half.
 var ablations = []policy{
 	{"own-routing-static", ownRouter, staticPlacer},
 }
--- a/decide/crowd_test.go
+++ b/decide/crowd_test.go
@@ -13,65 +13,65 @@
 	"greengageferry/infra"
 )
 
-// The load: as many instances as each server has slots, or many more, choose
-// among the same servers, and hear twice a second what all the others have there.
-// Each instance alone sends too little to know a server by its own requests.
+// A simulation of many instances that choose among the same servers: as many instances as
+// each server has slots, or many more. Twice per second each instance gets a report of the
+// others' load. Each one alone sends too few requests to judge a server by them.
 
 const (
 	instanceSimDomains          = 6
 	slotEngineSlots             = 12
 	instanceSimEngines          = 240
 	instanceSimModels           = 48
-	scarceModels                = 6  // models that have two replicas at first
-	slotEngineQueue             = 25 // that an engine takes beyond its slots before it refuses
+	scarceModels                = 6  // models that start with two replicas
+	slotEngineQueue             = 25 // requests that an engine queues before it refuses
 	instanceSimRate             = 1290.0
 	instanceSimGoal             = 400 * time.Millisecond
-	instanceSimReportInterval   = 500 * time.Millisecond // between two reports
-	instanceSimReportLag        = 400 * time.Millisecond // of what a report says
+	instanceSimReportInterval   = 500 * time.Millisecond // interval between reports to an instance
+	instanceSimReportLag        = 400 * time.Millisecond // age of the data in a report
 	instanceSimSnapshotInterval = 100 * time.Millisecond
 )
 
-// crowdEngine runs crowdSlots requests at once, and others wait in their order.
+// slotEngine runs slotEngineSlots requests at once and queues others first in, first out.
 type slotEngine struct {
 	id      string
 	running int
 	waiting []*slotRequest
-	seen    map[int]bool // the instances that sent it anything
+	seen    map[int]bool // instances that have sent it a request
 }
 
 type slotRequest struct {
 	Request
-	at   int // its instance
+	at   int // index of its instance
 	hold time.Duration
 }
 
-// crowd is instances before engines.
+// instanceSim simulates instances that share engines.
 type instanceSim struct {
 	now        time.Time
 	rng        *rand.Rand
 	schedulers []*Scheduler
 	engines    []*slotEngine
 	requests   map[string]*slotRequest
-	own        []map[string]int // by instance, then by engine
+	own        []map[string]int // in-flight requests by instance and engine
 	events     simEvents
 	seq        int
 
-	arrived, inTime, refused, rejected, queued int
-	connections                                int
+	arrived, inTime, refused, rejections, queued int
+	connections                                  int
 
-	snapshots []loadSnapshot // the newest last; reports bring the oldest
+	snapshots []loadSnapshot // newest last; reports carry the oldest
 	tables    []*Table       // by instance
-	quotas    bool           // reports say how many requests contend
+	quotas    bool           // reports include the number of contending requests
 }
 
-// counted is what all instances have at a moment.
+// loadSnapshot is the load of all instances at one time, by engine.
 type loadSnapshot struct {
 	loads      map[string]int
 	contending map[string]float64
 }
 
-// count takes note of what all instances have. What one says is known to the
-// others after its word and theirs: crowdLag later in the mean.
+// takeSnapshot records the load of all instances. An instance's load reaches the others
+// with its next report and theirs: instanceSimReportLag later on average.
 func (c *instanceSim) takeSnapshot() {
 	n := loadSnapshot{loads: map[string]int{}, contending: c.contending()}
 	for _, e := range c.engines {
@@ -89,8 +89,9 @@
 	heap.Push(&c.events, simEvent{c.now.Add(d), c.seq, do})
 }
 
-// newCrowd returns instances before engines that hold three models each, the
-// asked ones by their popularity; a failure domain may have none of a model.
+// newInstanceSim returns a simulation whose engines hold up to three models each, placed
+// by popularity, and the popularity of the models. A failure domain may have no replica of
+// a model.
 func newInstanceSim(instances int, seed uint64) (*instanceSim, []float64) {
 	c := &instanceSim{now: simStart, rng: rand.New(rand.NewPCG(seed, 1)), requests: map[string]*slotRequest{}}
 	t := &Table{Targets: map[string]*Target{}, Entries: map[string]int{}, NoServerQueue: true, LocalFillLimit: 0.2}
@@ -146,8 +147,8 @@
 	c.after(25*time.Millisecond, func() { c.tick(i) })
 }
 
-// grow gives the models that are short of replicas what they need, and each
-// instance learns of it within half a second.
+// addReplicas adds the missing replicas of the scarce models. Each instance gets the new
+// table within half a second.
 func (c *instanceSim) addReplicas(weights []float64) {
 	for m := range scarceModels {
 		t := *c.tables[0].Targets[fmt.Sprint("m", m)]
@@ -166,7 +167,7 @@
 	}
 }
 
-// contending is how many requests wait for what an engine serves.
+// contending returns the number of requests that compete for each engine.
 func (c *instanceSim) contending() map[string]float64 {
 	out := map[string]float64{}
 	for _, s := range c.schedulers {
@@ -181,8 +182,8 @@
 	return out
 }
 
-// report tells an instance what all have at the engines: told by the others a
-// quarter of a second ago in the mean.
+// report gives an instance the oldest snapshot of all engines, about instanceSimReportLag
+// old.
 func (c *instanceSim) report(i int) {
 	was := c.snapshots[0]
 	for _, e := range c.engines {
@@ -227,7 +228,7 @@
 		c.queued++
 		e.waiting = append(e.waiting, r)
 	default:
-		c.rejected++
+		c.rejections++
 		c.carryOut(r.at, c.schedulers[r.at].AttemptFailed(c.now, r.ID, e.id, Failure{Reason: infra.ReasonOverloaded}))
 	}
 }
@@ -283,7 +284,7 @@
 	}
 }
 
-// result plays eight seconds in which the models that are short get replicas after three.
+// runInstanceSim simulates eight seconds; after three the scarce models get replicas.
 func runInstanceSim(instances int, quotas bool) *instanceSim {
 	c, weights := newInstanceSim(instances, 7)
 	c.quotas = quotas
@@ -292,15 +293,15 @@
 	return c
 }
 
-// Without quotas 2.8 of 100 requests of 300 instances were turned
-// away by engines that all of them had sent something at once; with 0.6 as many are
-// served in time.
+// Without quotas, instances that saw the same free engines sent to them at once: with 300
+// instances the engines rejected 2.8 of 100 requests. With quotas they reject 0.6 of 100,
+// and as many requests are served in time.
 func TestQuotasReduceRejectionsByServers(t *testing.T) {
 	for _, instances := range []int{100, 300} {
 		alone, shared := runInstanceSim(instances, false), runInstanceSim(instances, true)
-		t.Logf("%d instances: turned away %d, with quotas %d of %d; in time %d, with quotas %d",
-			instances, alone.rejected, shared.rejected, alone.arrived, alone.inTime, shared.inTime)
-		require.Less(t, 2*shared.rejected, alone.rejected)
+		t.Logf("%d instances: rejected %d, with quotas %d of %d; in time %d, with quotas %d",
+			instances, alone.rejections, shared.rejections, alone.arrived, alone.inTime, shared.inTime)
+		require.Less(t, 2*shared.rejections, alone.rejections)
 		require.Greater(t, float64(shared.inTime), 0.97*float64(alone.inTime))
 	}
 }
--- a/decide/engine.go
+++ b/decide/engine.go
@@ -101,8 +101,8 @@
 	return m.prefillTime(float64(prompt)) + output*m.decode.value/float64(max(slots, 1))
 }
 
-// Work returns the time of a whole engine that the request would take, 0 if not
-// known for its target's engines.
+// Work returns the time of a whole engine that the request would take, 0 if not known for
+// its target's engines.
 func (s *Scheduler) Work(r *Request) time.Duration {
 	t := s.fleet.targets[r.Target]
 	if t == nil || t.Service || t.pool == nil {
@@ -159,8 +159,8 @@
 	return c.server.pool.engine.prefillTime(c.unread)
 }
 
-// Unread returns the prompt tokens of this instance's requests at the server that
-// have no first token yet.
+// Unread returns the prompt tokens of this instance's requests at the server that have no
+// first token yet.
 func (s *Scheduler) Unread(server string) int {
 	if srv := s.fleet.servers[server]; srv != nil {
 		return srv.unread
--- a/decide/engine_test.go
+++ b/decide/engine_test.go
@@ -13,18 +13,19 @@
 	"greengageferry/infra"
 )
 
-// readingRate is how many prompt tokens a second the engines of these tests read.
+// testPrefillRate is the prefill rate of the simulated engines, in prompt tokens per
+// second.
 const testPrefillRate = 19_000.0
 
-// reader is an engine that reads its prompts one after the other.
+// prefillEngine simulates an engine that prefills its prompts one after the other.
 type prefillEngine struct {
-	idleAt time.Time // when it has read all
+	idleAt time.Time // when its prefill backlog is empty
 }
 
-// send returns when the first token of a prompt comes that is sent now.
+// send adds a prompt and returns the time of its first token.
 func (r *prefillEngine) send(now time.Time, tokens int) time.Time {
 	r.idleAt = later(r.idleAt, now).Add(seconds(float64(tokens) / testPrefillRate))
-	return r.idleAt.Add(15 * time.Millisecond) // the way there and back, and a step
+	return r.idleAt.Add(15 * time.Millisecond) // network round trip and one decoding step
 }
 
 func later(a, b time.Time) time.Time {
@@ -34,17 +35,17 @@
 	return b
 }
 
-// prompts is a replay of callers whose prompts differ in size, at engines that
-// read them.
+// promptReplay simulates callers with prompts of different lengths, whose time to first
+// token is dominated by prefill.
 type promptReplay struct {
 	s       *Scheduler
 	rng     *rand.Rand
 	now     time.Time
 	engines map[string]*prefillEngine
-	pending []firstToken // in order
+	pending []firstToken // sorted by time
 	sizes   map[string]int
 	arrived map[string]time.Time
-	ratios  []float64 // actual against predicted times to the first token
+	ratios  []float64 // actual / predicted time to first token
 	waits   []time.Duration
 	refused int
 }
@@ -68,7 +69,7 @@
 	return p
 }
 
-// play has so many requests come in a second, for some seconds, each with a goal.
+// run submits requests at the given rate for duration d, each with the goal.
 func (p *promptReplay) run(perSecond float64, d, goal time.Duration) {
 	end := p.now.Add(d)
 	for n := 0; ; n++ {
@@ -86,7 +87,7 @@
 	}
 }
 
-// pass lets first tokens come until a time. Each answer ends with its first token.
+// advance handles the first tokens due until then. Each answer ends with its first token.
 func (p *promptReplay) advance(until time.Time) {
 	for len(p.pending) > 0 && !p.pending[0].at.After(until) {
 		x := p.pending[0]
@@ -118,12 +119,13 @@
 	}
 }
 
-// A loaded pool whose prompts are from some hundred to seven thousand tokens
-// long: by the number of requests at a server one in three first tokens came
-// within half and twice the predicted time, by its unread tokens nine in ten do.
+// Guards against wrong predictions of the time to first token in a loaded pool with
+// prompts of some hundred to seven thousand tokens. Predicted from the number of requests
+// at a server, one in three first tokens came within half and twice the predicted time;
+// predicted from unread tokens, nine in ten do.
 func TestTimeToFirstTokenIsPredictedFromUnreadTokens(t *testing.T) {
 	p := newPromptReplay(4)
-	p.run(2, 20*time.Second, time.Hour) // the model is learned while load is low
+	p.run(2, 20*time.Second, time.Hour) // the prefill rate is learned under low load
 	p.ratios = nil
 	p.run(25, 30*time.Second, time.Hour)
 	require.InDelta(t, testPrefillRate, p.s.fleet.pools["p"].engine.prefillRate(), 0.15*testPrefillRate)
@@ -137,8 +139,8 @@
 	require.GreaterOrEqual(t, float64(within)/float64(len(p.ratios)), 0.9)
 }
 
-// A hundred seconds' worth of reading a minute for each server: what it can't
-// read waits here, goes in the order of its goals, or is refused.
+// Each server gets 100 seconds of prefill work per minute. What exceeds its capacity must
+// wait at the instance in the order of goals, or be refused.
 func TestPrefillOverloadServesMostRequestsWithinTheirGoal(t *testing.T) {
 	const goal = 800 * time.Millisecond
 	p := newPromptReplay(2)
@@ -151,9 +153,9 @@
 			inTime++
 		}
 	}
-	require.Greater(t, p.refused, 100, "it is more than the servers read")
+	require.Greater(t, p.refused, 100, "demand must exceed the prefill capacity")
 	read := float64(len(p.waits)) / 30
-	require.Greater(t, read, 14.0, "and they have something to read all the while")
+	require.Greater(t, read, 14.0, "the servers must be kept busy")
 	require.GreaterOrEqual(t, float64(inTime)/float64(len(p.waits)), 0.8)
 }
 
@@ -175,7 +177,7 @@
 	require.Zero(t, d[0].Inputs.Unread)
 
 	p.s.UpdateLoad(simStart.Add(time.Second), "s0", infra.Load{Running: 9, UnreadTokens: 9000}, 0)
-	require.Equal(t, ActionQueue, p.s.Submit(simStart.Add(time.Second), prompt("third", 500))[0].Action, "others' prompts count as well")
+	require.Equal(t, ActionQueue, p.s.Submit(simStart.Add(time.Second), prompt("third", 500))[0].Action, "prompts of other instances must count")
 }
 
 func TestFailedAttemptReleasesItsUnreadTokens(t *testing.T) {
@@ -193,9 +195,9 @@
 	require.Zero(t, p.s.Unread(second))
 }
 
-func TestEngineTimeOfARequest(t *testing.T) {
+func TestEngineTime(t *testing.T) {
 	var m enginePerformance
-	require.Zero(t, m.engineTime(2000, 100, 64), "nothing is known yet")
+	require.Zero(t, m.engineTime(2000, 100, 64), "must be zero before there are samples")
 	for range minPrefillSamples {
 		m.recordPrefill(2000, 100*time.Millisecond)
 		m.recordDecode(50, 0.0096)
--- a/decide/experiment_test.go
+++ b/decide/experiment_test.go
@@ -311,7 +311,7 @@
 		w.domains[0].engines[0].step *= sc.slow
 	}
 	tokens := simTokens * (1 + sc.long*7)
-	perServer := simSlots / (simStep * (1 + simCrowding) * (tokens + 800/simPromptStep))
+	perServer := simSlots / (simStep * (1 + simFullBatchSlowdown) * (tokens + 800/simPromptStep))
 	capacity := perServer * float64(w.result.accelerators)
 	names := sortedNames(w.conf.Models)
 	popular := w.rng.Perm(len(names))
@@ -361,7 +361,7 @@
 		mean *= 8
 	}
 	tokens := int(mean * (0.5 + w.rng.Float64()))
-	deadline := 6*time.Second + time.Duration(mean*simStep*(1+simCrowding)*1.3*float64(time.Second))
+	deadline := 6*time.Second + time.Duration(mean*simStep*(1+simFullBatchSlowdown)*1.3*float64(time.Second))
 	d := w.domains[w.rng.IntN(len(w.domains))]
 	w.arrive(d, Request{ID: fmt.Sprint("r", n), Partner: w.conf.Models[names[pick]].Owner, Target: target, Deadline: w.now.Add(deadline),
 		PromptBytes: 800, MaxTokens: int(mean * 1.5), Prefix: uint64(pick*10 + w.rng.IntN(4) + 1), Idempotent: true}, tokens)
--- a/decide/load.go
+++ b/decide/load.go
@@ -133,8 +133,8 @@
 // free faster than load reports arrive: those that get a slot within goalQueueFraction of
 // the goal. Reports say little about the current load of such a server. When each of 295
 // instances trusted them and took its servers for full, while 30 of their 60 slots were
-// taken, requests waited for the next report: half of them for 0.7 s, with a goal of 0.3
-// s.
+// taken, requests waited for the next report: half of them for 0.7 s, with a goal of
+// 0.3 s.
 func (s *serverState) fastServerQueue(goal time.Duration) int {
 	if !s.slotsFreeFast() {
 		return 0
--- a/decide/pump.go
+++ b/decide/pump.go
@@ -52,6 +52,8 @@
 	return t.partner == req.target.partner || p.share(t.partner) <= p.share(req.target.partner)
 }
 
+// precedes reports whether a is served before b: by the partners' shares of the pool, then
+// by queueKey.
 func (s *Scheduler) precedes(p *poolState, a, b *requestState) bool {
 	if x, y := p.share(a.target.partner), p.share(b.target.partner); x != y {
 		return x < y
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -15,8 +15,9 @@
 	retryReserve = 32.0
 	// retryRefill refills the budget, in retries per second, where nothing succeeds.
 	retryRefill = 0.5
-	// maxAttempts bounds the attempts of one request, including those that surely didn't
-	// run, so that a request for a target with a wrong table entry isn't retried forever.
+	// maxAttempts bounds the attempts of one request that reach a server, including those
+	// that surely didn't run, so that a request for a target with a wrong table entry
+	// isn't retried forever.
 	maxAttempts = 6
 	// maxUnsent bounds the attempts of one request that reached no server. In a network
 	// partition each costs a connection timeout.
--- a/decide/scheduler_test.go
+++ b/decide/scheduler_test.go
@@ -12,8 +12,8 @@
 	"greengageferry/infra"
 )
 
-// testTable has n servers of one pool in domain d0, each with the targets, whose
-// names begin with their partner's letter.
+// testTable returns a table with n servers of one pool in domain d0, all of which serve
+// the targets. A target's partner is the first letter of its name.
 func testTable(n, slots, instances int, targets ...string) *Table {
 	t := &Table{OwnDomain: "d0", Targets: map[string]*Target{}, Entries: map[string]int{"d0": instances}, Weights: map[string]float64{}}
 	for i := range n {
@@ -39,12 +39,12 @@
 	return Request{ID: id, Target: target, Partner: target[:1], Arrived: simStart, Deadline: simStart.Add(deadline), Idempotent: true}
 }
 
-// answered steps the scheduler with a whole answer that took a second.
+// completeRequest reports a complete answer that took one second.
 func completeRequest(s *Scheduler, now time.Time, id, server string) []Decision {
 	return s.Ended(now, id, server, Outcome{Complete: true, FirstToken: 100 * time.Millisecond, Total: time.Second, Tokens: 100})
 }
 
-// warm teaches the scheduler that answers take a second.
+// warmUp completes requests so that the expected service time is one second.
 func warmUp(s *Scheduler, target string) {
 	for i := range 5 {
 		d := s.Submit(simStart, newTestRequest(fmt.Sprint("warm", i), target, time.Minute))[0]
@@ -73,11 +73,11 @@
 		if d.Action == ActionRefuse {
 			refused++
 			require.Equal(t, ReasonDeadline, d.Reason)
-			require.Greater(t, d.RetryAfter, last, "refused callers are told different times")
+			require.Greater(t, d.RetryAfter, last, "refused callers must get increasing retry delays")
 			last = d.RetryAfter
 		}
 	}
-	require.Greater(t, refused, 20, "two slots do ten requests in five seconds at most")
+	require.Greater(t, refused, 20, "two slots complete at most ten requests in five seconds")
 	require.Greater(t, s.Queued(), 2)
 }
 
@@ -95,12 +95,12 @@
 			started[d.Request[0]]++
 		}
 	}
-	require.GreaterOrEqual(t, started['b'], 4, "the flood gives back the other's half slot by slot")
+	require.GreaterOrEqual(t, started['b'], 4, "the overloading partner must return the other's half of the slots as they free")
 }
 
 func TestQueueIsBoundedAndTheOverloadingPartnerIsRefused(t *testing.T) {
 	s := testScheduler(testTable(1, 1, 1, "am", "bm"))
-	const long = 100 * time.Hour // so that the bound is memory and not the deadline
+	const long = 100 * time.Hour // so that maxQueued and not the deadline is the limit
 	var last []Decision
 	for i := range maxQueued + 10 {
 		last = s.Submit(simStart, newTestRequest(fmt.Sprint("a", i), "am", long))
@@ -115,7 +115,7 @@
 func TestPriorityGoesFirstAndNeverStarves(t *testing.T) {
 	s := testScheduler(testTable(1, 1, 1, "am"))
 	s.Submit(simStart, newTestRequest("running0", "am", time.Hour))
-	s.Submit(simStart, newTestRequest("running1", "am", time.Hour)) // in the server's queue
+	s.Submit(simStart, newTestRequest("running1", "am", time.Hour)) // waits at the server
 	s.Submit(simStart, newTestRequest("ordinary", "am", time.Hour))
 	for i := range 20 {
 		r := newTestRequest(fmt.Sprint("high", i), "am", time.Hour)
@@ -188,7 +188,7 @@
 	for i := range 40 {
 		seen[s.Submit(late, newTestRequest(fmt.Sprint("l", i), "am", time.Hour))[0].Server.ID] = true
 	}
-	require.True(t, seen[first], "it is tried again")
+	require.True(t, seen[first], "the replica must be tried again after the backoff")
 }
 
 func TestCrashSuspectsAreIsolatedAndQuarantinedAfterTwoCrashes(t *testing.T) {
@@ -199,9 +199,9 @@
 		r.Suspect = true
 		at[s.Submit(simStart, r)[0].Server.ID] = r.ID
 	}
-	require.Len(t, at, 3, "each on a server of its own")
+	require.Len(t, at, 3, "each suspect must be on a separate server")
 	d := s.AttemptFailed(simStart, at["s0"], "s0", Failure{Crash: true})
-	require.Equal(t, ActionQueue, d[0].Action, "one crash only parts it from the others")
+	require.Equal(t, ActionQueue, d[0].Action, "after one crash the request is isolated, not refused")
 	d = s.Ended(simStart, at["s1"], "s1", Outcome{Complete: true})
 	require.Equal(t, ActionDispatch, d[0].Action)
 	require.Equal(t, ReasonQuarantined, s.AttemptFailed(simStart, d[0].Request, "s1", Failure{Crash: true})[0].Reason)
@@ -229,7 +229,7 @@
 		for j := range 8 {
 			load := infra.Load{Running: 7, Slots: 8}
 			if j == 0 {
-				load.Running = 0 // the one that all would run to
+				load.Running = 0 // the server that all would choose by load
 			}
 			s.UpdateLoad(simStart, fmt.Sprint("s", j), load, 0)
 		}
@@ -248,12 +248,12 @@
 	require.Positive(t, queued)
 	require.Len(t, s.Drain(simStart), queued)
 	require.Equal(t, ReasonShuttingDown, s.Submit(simStart, newTestRequest("new", "am", time.Hour))[0].Reason)
-	require.Equal(t, 4-queued, s.fleet.servers["s0"].own, "what runs goes on")
+	require.Equal(t, 4-queued, s.fleet.servers["s0"].own, "running requests must continue")
 }
 
-// TestAnyHistory steps the scheduler at random and checks that each request gets
-// one final decision, none is dispatched to a leaving server or past its
-// deadline, and the counts come out even.
+// TestAnyHistory runs random sequences of events. It checks that each request gets one
+// final decision, that none is dispatched to a leaving server or after its deadline, and
+// that the counters of running and queued requests are consistent.
 func TestAnyHistory(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := testTable(3, 2, 2, "am", "an", "bm")
@@ -262,7 +262,7 @@
 		now := simStart
 		carryOut := func(ds []Decision) {
 			for _, d := range ds {
-				require.True(t, open[d.Request], "a decision after the final one")
+				require.True(t, open[d.Request], "got a decision after the final one")
 				delete(at, d.Request)
 				switch d.Action {
 				case ActionRefuse:
@@ -326,7 +326,8 @@
 	require.Zero(t, testing.AllocsPerRun(2000, step))
 }
 
-// routing returns a step that routes a request among so many servers and ends it.
+// routeStep returns a function that routes a request among that many servers and completes
+// it.
 func routeStep(servers int) func() {
 	s := testScheduler(testTable(servers, 8, 41, "am"))
 	r := newTestRequest("r", "am", time.Hour)
--- a/decide/score.go
+++ b/decide/score.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	// defaultServiceTime is assumed, in seconds, while no service time is known. It is
-	// only used to compare waits.
+	// defaultServiceTime is assumed, in seconds, for a target that has not answered yet.
+	// In scores it only serves to compare waits.
 	defaultServiceTime = 1.0
 	// fullBatchSlowdown is the relative increase of the service time in a full batch.
 	fullBatchSlowdown = 0.5
--- a/decide/sim_test.go
+++ b/decide/sim_test.go
@@ -11,12 +11,13 @@
 	"greengageferry/infra"
 )
 
-// A small deterministic model of servers that batch continuously, for the
-// experiment. It is no cluster: no network, no log, and time is an argument.
+// A small deterministic simulation of servers with continuous batching, for the policy
+// experiment. It has no network and no log, and time is an argument.
 
 var simStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// router is the scheduler's method set that the experiment steps.
+// router is the part of the scheduler's methods that the experiment uses, so that
+// baselines can replace it.
 type router interface {
 	SetTable(now time.Time, t *Table) []Decision
 	Submit(now time.Time, r Request) []Decision
@@ -27,7 +28,7 @@
 	Tick(now time.Time) []Decision
 }
 
-// placer is the planner's method.
+// placer is the planner's method, so that baselines can replace it.
 type placer interface{ Plan(in PlanInput) []Move }
 
 type simEvent struct {
@@ -53,7 +54,7 @@
 	return last
 }
 
-// job is one request and its attempt.
+// job is a request with its current attempt.
 type job struct {
 	Request
 	entry   *simEntry
@@ -65,7 +66,7 @@
 	done    bool
 }
 
-// mark is a point on an engine's token clock: a job's first token or its end.
+// milestone is the step of an engine at which a job gets its first token or ends.
 type milestone struct {
 	steps float64
 	job   *job
@@ -84,30 +85,30 @@
 	return last
 }
 
-// simEngine batches continuously: each running request gets a token each step,
+// simEngine simulates continuous batching: each running request gets one token per step,
 // and a step takes longer the fuller the batch is.
 type simEngine struct {
 	PlanServer
 	domain     string
-	step       float64 // seconds a step alone
-	steps      float64 // steps so far
+	step       float64 // seconds per step with a single request
+	steps      float64 // steps completed
 	updatedAt  time.Time
 	running    int
 	waiting    []*job
 	milestones milestones
 	epoch      int
-	prefix     []uint64 // cached, oldest first
+	prefix     []uint64 // cached prompt prefixes, least recently used first
 	used       map[infra.Key]time.Time
 }
 
 const (
-	simCrowding   = 0.5 // how much longer a step takes in a full batch
-	simPrefixes   = 12  // prompt prefixes that an engine keeps
-	simPromptStep = 60  // prompt bytes that take as long as one step
+	simFullBatchSlowdown = 0.5 // relative increase of the step time in a full batch
+	simPrefixes          = 12  // prompt prefixes that an engine caches
+	simPromptStep        = 60  // prompt bytes prefilled in the time of one step
 )
 
 func (e *simEngine) stepTime() float64 {
-	return e.step * (1 + simCrowding*float64(e.running-1)/float64(e.Slots))
+	return e.step * (1 + simFullBatchSlowdown*float64(e.running-1)/float64(e.Slots))
 }
 
 func (e *simEngine) advance(now time.Time) {
@@ -194,7 +195,7 @@
 	}
 }
 
-// leave ends a job whose caller has gone: its deadline passed.
+// expire ends a job whose deadline has passed: its caller disconnects.
 func (w *world) expire(j *job) {
 	if j.done {
 		return
@@ -216,7 +217,7 @@
 	w.carryOut(j.entry, j.entry.router.Cancel(w.now, j.ID))
 }
 
-// simEntry is an entry instance.
+// simEntry is an instance.
 type simEntry struct {
 	domain *simDomain
 	router router
@@ -238,7 +239,7 @@
 	return d.demand[target]
 }
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
 	now          time.Time
 	seq          int
@@ -249,11 +250,11 @@
 	engines      map[string]*simEngine
 	stores       map[string]infra.StoreLimits
 	loading      map[string]int
-	loadMiB      float64 // MiB a second of one load at the store's full speed
+	loadMiB      float64 // MiB per second of one load at the store's full speed
 	result       result
-	readyChanged bool                // what is ready has changed
+	readyChanged bool                // the set of ready items has changed
 	adapters     map[string][]string // by model
-	moves        bool                // count moves: after the first placement
+	moves        bool                // whether moves are counted; set after the first placement
 }
 
 func (w *world) after(d time.Duration, do func()) {
@@ -305,7 +306,7 @@
 	return slices.ContainsFunc(e.Ready, func(i infra.Item) bool { return nameOfItem(i) == target })
 }
 
-// arrive takes in a request at one of the domain's entry instances.
+// arrive submits a request at a random instance of the domain.
 func (w *world) arrive(d *simDomain, r Request, tokens int) {
 	entry := d.entries[w.rng.IntN(len(d.entries))]
 	r.Arrived = w.now
@@ -336,7 +337,7 @@
 	}
 }
 
-// load makes an item resident after the store has given it.
+// load makes an item resident once the store has delivered it.
 func (w *world) load(e *simEngine, item infra.Item, owner string) {
 	e.Assigned = append(e.Assigned, item)
 	e.Since[item.Key()] = w.now
--- a/decide/types.go
+++ b/decide/types.go
@@ -154,7 +154,7 @@
 
 // RateLimit is the request rate, over all instances, that an overloaded server accepts.
 type RateLimit struct {
-	Named     bool    // false: the server is limited by its slots alone
+	Named     bool    // the server announced a limit; false: only its slots limit it
 	PerSecond float64 // requests per second; 0: the server accepts none
 }
 
