--- a/decide/experiment_test.go
+++ b/decide/experiment_test.go
@@ -175,7 +175,7 @@
 	for i, n := range z.domains {
 		d := &simDomain{name: fmt.Sprintf("d%d", i), demand: map[string]*Demand{}}
 		for j := range n {
-			e := &simEngine{domain: d.name, step: simStep, at: w.now, PlanServer: PlanServer{ID: fmt.Sprintf("%s-s%03d", d.name, j), Pool: "pool",
+			e := &simEngine{domain: d.name, step: simStep, updatedAt: w.now, PlanServer: PlanServer{ID: fmt.Sprintf("%s-s%03d", d.name, j), Pool: "pool",
 				MemoryMiB: simMemory, Slots: simSlots, Reachable: true, Since: map[infra.Key]time.Time{}}}
 			e.used = map[infra.Key]time.Time{}
 			w.engines[e.ID] = e
@@ -217,7 +217,7 @@
 			load := e.load()
 			w.after(500*time.Millisecond, func() {
 				for _, to := range d.entries {
-					w.carryOut(to, to.router.Reported(w.now, e.ID, load, 500*time.Millisecond))
+					w.carryOut(to, to.router.UpdateLoad(w.now, e.ID, load, 500*time.Millisecond))
 				}
 			})
 		}
@@ -264,10 +264,10 @@
 
 // tables tells each instance what is ready.
 func (w *world) tables(z size) {
-	if !w.dirty {
+	if !w.readyChanged {
 		return
 	}
-	w.dirty = false
+	w.readyChanged = false
 	base := Table{Targets: map[string]*Target{}, Weights: map[string]float64{"owner": 1, "guest": 1}, Entries: map[string]int{}}
 	for name, m := range w.conf.Models {
 		base.Targets[name] = &Target{Name: name, Partner: m.Owner, Model: name, MaxTokens: m.MaxTokens, Timeout: 20 * time.Second}
@@ -311,7 +311,7 @@
 		w.domains[0].engines[0].step *= sc.slow
 	}
 	tokens := simTokens * (1 + sc.long*7)
-	perServer := simSlots / (simStep * (1 + simCrowding) * (tokens + 800/simPromptStep))
+	perServer := simSlots / (simStep * (1 + simFullBatchSlowdown) * (tokens + 800/simPromptStep))
 	capacity := perServer * float64(w.result.accelerators)
 	names := sortedNames(w.conf.Models)
 	popular := w.rng.Perm(len(names))
@@ -361,7 +361,7 @@
 		mean *= 8
 	}
 	tokens := int(mean * (0.5 + w.rng.Float64()))
-	deadline := 6*time.Second + time.Duration(mean*simStep*(1+simCrowding)*1.3*float64(time.Second))
+	deadline := 6*time.Second + time.Duration(mean*simStep*(1+simFullBatchSlowdown)*1.3*float64(time.Second))
 	d := w.domains[w.rng.IntN(len(w.domains))]
 	w.arrive(d, Request{ID: fmt.Sprint("r", n), Partner: w.conf.Models[names[pick]].Owner, Target: target, Deadline: w.now.Add(deadline),
 		PromptBytes: 800, MaxTokens: int(mean * 1.5), Prefix: uint64(pick*10 + w.rng.IntN(4) + 1), Idempotent: true}, tokens)
--- a/decide/sim_test.go
+++ b/decide/sim_test.go
@@ -11,23 +11,24 @@
 	"greengageferry/infra"
 )
 
-// A small deterministic model of servers that batch continuously, for the
-// experiment. It is no cluster: no network, no log, and time is an argument.
+// A small deterministic simulation of servers with continuous batching, for the policy
+// experiment. It has no network and no log, and time is an argument.
 
 var simStart = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// router is the scheduler's method set that the experiment steps.
+// router is the part of the scheduler's methods that the experiment uses, so that
+// baselines can replace it.
 type router interface {
 	SetTable(now time.Time, t *Table) []Decision
-	Arrive(now time.Time, r Request) []Decision
-	Failed(now time.Time, request, server string, f Failure) []Decision
+	Submit(now time.Time, r Request) []Decision
+	AttemptFailed(now time.Time, request, server string, f Failure) []Decision
 	Ended(now time.Time, request, server string, o Outcome) []Decision
-	Left(now time.Time, request string) []Decision
-	Reported(now time.Time, server string, load infra.Load, age time.Duration) []Decision
+	Cancel(now time.Time, request string) []Decision
+	UpdateLoad(now time.Time, server string, load infra.Load, age time.Duration) []Decision
 	Tick(now time.Time) []Decision
 }
 
-// placer is the planner's method.
+// placer is the planner's method, so that baselines can replace it.
 type placer interface{ Plan(in PlanInput) []Move }
 
 type simEvent struct {
@@ -53,68 +54,68 @@
 	return last
 }
 
-// job is one request and its attempt.
+// job is a request with its current attempt.
 type job struct {
 	Request
-	entry  *simEntry
-	engine *simEngine // nil: not at a server
-	tokens int
-	sentAt time.Time
-	first  time.Duration
-	runs   bool
-	over   bool
+	entry   *simEntry
+	engine  *simEngine // nil: not at a server
+	tokens  int
+	sentAt  time.Time
+	first   time.Duration
+	inBatch bool
+	done    bool
 }
 
-// mark is a point on an engine's token clock: a job's first token or its end.
-type mark struct {
-	v     float64
+// milestone is the step of an engine at which a job gets its first token or ends.
+type milestone struct {
+	steps float64
 	job   *job
 	first bool
 }
 
-type marks []mark
+type milestones []milestone
 
-func (h marks) Len() int           { return len(h) }
-func (h marks) Less(i, j int) bool { return h[i].v < h[j].v }
-func (h marks) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *marks) Push(x any)        { *h = append(*h, x.(mark)) }
-func (h *marks) Pop() any {
+func (h milestones) Len() int           { return len(h) }
+func (h milestones) Less(i, j int) bool { return h[i].steps < h[j].steps }
+func (h milestones) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *milestones) Push(x any)        { *h = append(*h, x.(milestone)) }
+func (h *milestones) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
-// simEngine batches continuously: each running request gets a token each step,
+// simEngine simulates continuous batching: each running request gets one token per step,
 // and a step takes longer the fuller the batch is.
 type simEngine struct {
 	PlanServer
-	domain  string
-	step    float64 // seconds a step alone
-	v       float64 // steps so far
-	at      time.Time
-	running int
-	waiting []*job
-	marks   marks
-	epoch   int
-	prefix  []uint64 // cached, oldest first
-	used    map[infra.Key]time.Time
+	domain     string
+	step       float64 // seconds per step with a single request
+	steps      float64 // steps completed
+	updatedAt  time.Time
+	running    int
+	waiting    []*job
+	milestones milestones
+	epoch      int
+	prefix     []uint64 // cached prompt prefixes, least recently used first
+	used       map[infra.Key]time.Time
 }
 
 const (
-	simCrowding   = 0.5 // how much longer a step takes in a full batch
-	simPrefixes   = 12  // prompt prefixes that an engine keeps
-	simPromptStep = 60  // prompt bytes that take as long as one step
+	simFullBatchSlowdown = 0.5 // relative increase of the step time in a full batch
+	simPrefixes          = 12  // prompt prefixes that an engine caches
+	simPromptStep        = 60  // prompt bytes prefilled in the time of one step
 )
 
 func (e *simEngine) stepTime() float64 {
-	return e.step * (1 + simCrowding*float64(e.running-1)/float64(e.Slots))
+	return e.step * (1 + simFullBatchSlowdown*float64(e.running-1)/float64(e.Slots))
 }
 
 func (e *simEngine) advance(now time.Time) {
 	if e.running > 0 {
-		e.v += now.Sub(e.at).Seconds() / e.stepTime()
+		e.steps += now.Sub(e.updatedAt).Seconds() / e.stepTime()
 	}
-	e.at = now
+	e.updatedAt = now
 }
 
 func (e *simEngine) load() infra.Load {
@@ -136,7 +137,7 @@
 	for e.running < e.Slots && len(e.waiting) > 0 {
 		j := e.waiting[0]
 		e.waiting = e.waiting[1:]
-		j.runs = true
+		j.inBatch = true
 		e.running++
 		prompt := float64(j.PromptBytes) / simPromptStep
 		if i := slices.Index(e.prefix, j.Prefix); i >= 0 {
@@ -147,8 +148,8 @@
 		if len(e.prefix) > simPrefixes {
 			e.prefix = e.prefix[1:]
 		}
-		heap.Push(&e.marks, mark{e.v + prompt + 1, j, true})
-		heap.Push(&e.marks, mark{e.v + prompt + float64(j.tokens), j, false})
+		heap.Push(&e.milestones, milestone{e.steps + prompt + 1, j, true})
+		heap.Push(&e.milestones, milestone{e.steps + prompt + float64(j.tokens), j, false})
 	}
 	w.schedule(e)
 }
@@ -156,55 +157,55 @@
 func (w *world) schedule(e *simEngine) {
 	e.epoch++
 	epoch := e.epoch
-	for len(e.marks) > 0 && e.marks[0].job.over {
-		heap.Pop(&e.marks)
+	for len(e.milestones) > 0 && e.milestones[0].job.done {
+		heap.Pop(&e.milestones)
 	}
-	if len(e.marks) == 0 {
+	if len(e.milestones) == 0 {
 		return
 	}
-	in := max(e.marks[0].v-e.v, 0) * e.stepTime()
+	in := max(e.milestones[0].steps-e.steps, 0) * e.stepTime()
 	w.after(seconds(in)+1, func() {
 		if e.epoch == epoch {
-			w.reach(e)
+			w.processMilestones(e)
 		}
 	})
 }
 
-func (w *world) reach(e *simEngine) {
+func (w *world) processMilestones(e *simEngine) {
 	e.advance(w.now)
 	var ended []*job
-	for len(e.marks) > 0 && e.marks[0].v <= e.v+1e-9 {
-		m := heap.Pop(&e.marks).(mark)
+	for len(e.milestones) > 0 && e.milestones[0].steps <= e.steps+1e-9 {
+		m := heap.Pop(&e.milestones).(milestone)
 		switch {
-		case m.job.over:
+		case m.job.done:
 		case m.first:
 			m.job.first = w.now.Sub(m.job.sentAt)
 			w.report(m.job.entry, e, 0)
 		default:
-			m.job.over = true
+			m.job.done = true
 			e.running--
 			ended = append(ended, m.job)
 		}
 	}
 	w.admit(e)
 	for _, j := range ended {
-		w.met(j)
+		w.countMet(j)
 		w.carryOut(j.entry, j.entry.router.Ended(w.now, j.ID, e.ID, Outcome{Complete: true, FirstToken: j.first, Total: w.now.Sub(j.sentAt), Tokens: j.tokens}))
 		w.report(j.entry, e, 0)
 	}
 }
 
-// leave ends a job whose caller has gone: its deadline passed.
-func (w *world) leave(j *job) {
-	if j.over {
+// expire ends a job whose deadline has passed: its caller disconnects.
+func (w *world) expire(j *job) {
+	if j.done {
 		return
 	}
-	j.over = true
+	j.done = true
 	why := "late in the entry's queue"
 	if e := j.engine; e != nil {
 		e.advance(w.now)
 		why = "late at the server"
-		if j.runs {
+		if j.inBatch {
 			e.running--
 			why = "late in the batch"
 		} else if i := slices.Index(e.waiting, j); i >= 0 {
@@ -213,10 +214,10 @@
 		w.admit(e)
 	}
 	w.count(j, why, 0)
-	w.carryOut(j.entry, j.entry.router.Left(w.now, j.ID))
+	w.carryOut(j.entry, j.entry.router.Cancel(w.now, j.ID))
 }
 
-// simEntry is an entry instance.
+// simEntry is an instance.
 type simEntry struct {
 	domain *simDomain
 	router router
@@ -238,22 +239,22 @@
 	return d.demand[target]
 }
 
-// world is one run.
+// world is the state of one simulation run.
 type world struct {
-	now      time.Time
-	seq      int
-	events   simEvents
-	rng      *rand.Rand
-	conf     *config.Config
-	domains  []*simDomain
-	engines  map[string]*simEngine
-	stores   map[string]infra.StoreLimits
-	loading  map[string]int
-	loadMiB  float64 // MiB a second of one load at the store's full speed
-	result   result
-	dirty    bool                // what is ready has changed
-	adapters map[string][]string // by model
-	moves    bool                // count moves: after the first placement
+	now          time.Time
+	seq          int
+	events       simEvents
+	rng          *rand.Rand
+	conf         *config.Config
+	domains      []*simDomain
+	engines      map[string]*simEngine
+	stores       map[string]infra.StoreLimits
+	loading      map[string]int
+	loadMiB      float64 // MiB per second of one load at the store's full speed
+	result       result
+	readyChanged bool                // the set of ready items has changed
+	adapters     map[string][]string // by model
+	moves        bool                // whether moves are counted; set after the first placement
 }
 
 func (w *world) after(d time.Duration, do func()) {
@@ -275,24 +276,24 @@
 }
 
 func (w *world) report(to *simEntry, e *simEngine, age time.Duration) {
-	w.carryOut(to, to.router.Reported(w.now, e.ID, e.load(), age))
+	w.carryOut(to, to.router.UpdateLoad(w.now, e.ID, e.load(), age))
 }
 
 func (w *world) carryOut(at *simEntry, decisions []Decision) {
 	for _, d := range slices.Clone(decisions) {
 		j := at.jobs[d.Request]
-		if j == nil || j.over {
+		if j == nil || j.done {
 			continue
 		}
 		switch d.Action {
 		case ActionRefuse:
-			j.over = true
+			j.done = true
 			w.result.refusals = append(w.result.refusals, w.now.Sub(j.Arrived).Seconds())
 			w.count(j, string(d.Reason), 0)
 		case ActionDispatch:
 			e := w.engines[d.Server.ID]
 			if !e.serves(j.Target) {
-				w.carryOut(at, at.router.Failed(w.now, j.ID, e.ID, Failure{Reason: infra.ReasonNotResident, Effect: infra.EffectNone}))
+				w.carryOut(at, at.router.AttemptFailed(w.now, j.ID, e.ID, Failure{Reason: infra.ReasonNotResident, Effect: infra.EffectNone}))
 				continue
 			}
 			w.result.waits = append(w.result.waits, w.now.Sub(j.Arrived).Seconds())
@@ -305,7 +306,7 @@
 	return slices.ContainsFunc(e.Ready, func(i infra.Item) bool { return nameOfItem(i) == target })
 }
 
-// arrive takes in a request at one of the domain's entry instances.
+// arrive submits a request at a random instance of the domain.
 func (w *world) arrive(d *simDomain, r Request, tokens int) {
 	entry := d.entries[w.rng.IntN(len(d.entries))]
 	r.Arrived = w.now
@@ -316,11 +317,11 @@
 	dem.TokensPerSecond += float64(tokens)
 	w.result.asked++
 	w.result.partnerAsked[r.Partner]++
-	w.after(r.Deadline.Sub(w.now), func() { w.leave(j); delete(entry.jobs, r.ID) })
-	w.carryOut(entry, entry.router.Arrive(w.now, r))
+	w.after(r.Deadline.Sub(w.now), func() { w.expire(j); delete(entry.jobs, r.ID) })
+	w.carryOut(entry, entry.router.Submit(w.now, r))
 }
 
-func (w *world) met(j *job) { w.count(j, "", 1) }
+func (w *world) countMet(j *job) { w.count(j, "", 1) }
 
 func (w *world) count(j *job, why string, met int) {
 	w.result.met += met
@@ -336,7 +337,7 @@
 	}
 }
 
-// load makes an item resident after the store has given it.
+// load makes an item resident once the store has delivered it.
 func (w *world) load(e *simEngine, item infra.Item, owner string) {
 	e.Assigned = append(e.Assigned, item)
 	e.Since[item.Key()] = w.now
@@ -352,7 +353,7 @@
 		w.loading[owner]--
 		if slices.ContainsFunc(e.Assigned, func(i infra.Item) bool { return i.Key() == item.Key() }) {
 			e.Ready = append(e.Ready, item)
-			w.dirty = true
+			w.readyChanged = true
 		}
 	})
 }
@@ -361,7 +362,7 @@
 	same := func(i infra.Item) bool { return i.Key() == item.Key() }
 	e.Assigned = slices.DeleteFunc(e.Assigned, same)
 	e.Ready = slices.DeleteFunc(e.Ready, same)
-	w.dirty = true
+	w.readyChanged = true
 	e.Lingering = append(e.Lingering, item)
 	w.after(2*time.Second, func() { e.Lingering = slices.DeleteFunc(e.Lingering, same) })
 	if w.moves {
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -294,10 +294,10 @@
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
 	return decide.RetryPolicy{
-		Share:        n.RetryRatio * retryRatioFraction,
-		Reserve:      max(share*retryReserveFraction, 1),
-		Trickle:      share * retryRefillFraction / max(n.RetryWindow.Seconds(), 1),
-		CountRefused: true,
+		Ratio:           n.RetryRatio * retryRatioFraction,
+		Reserve:         max(share*retryReserveFraction, 1),
+		RefillPerSecond: share * retryRefillFraction / max(n.RetryWindow.Seconds(), 1),
+		CountRefused:    true,
 	}
 }
 
--- a/instance/shares_test.go
+++ b/instance/shares_test.go
@@ -22,7 +22,9 @@
 
 // totalRetries returns how many retries all instances together may send within a window
 // of ten seconds under a policy if no request succeeds.
-func totalRetries(p decide.RetryPolicy) float64 { return retryInstances * (p.Reserve + 10*p.Trickle) }
+func totalRetries(p decide.RetryPolicy) float64 {
+	return retryInstances * (p.Reserve + 10*p.RefillPerSecond)
+}
 
 // After all instances are killed and restarted, none knows the number of instances until
 // one of them holds the lease, which takes seconds. When each assumed eighteen instances,
--- a/relay/attempt.go
+++ b/relay/attempt.go
@@ -83,7 +83,7 @@
 // this one falls silent. If not, the attempt is not ended for silence: the server may
 // only be busy, and no other server can respond.
 func (c *call) canRetryElsewhere(d decide.Decision) bool {
-	return c.route.Retry != topology.AtMostOnce && c.attempts < c.route.Attempts && d.Reason != decide.ReasonOnly
+	return c.route.Retry != topology.AtMostOnce && c.attempts < c.route.Attempts && d.Reason != decide.ReasonOnlyReplica
 }
 
 // forwardedRequest returns the request to send to the server.
--- a/relay/call.go
+++ b/relay/call.go
@@ -146,7 +146,7 @@
 	}
 	if c.route.Stream {
 		r.Goal = c.route.Goal
-		r.StartBy = c.arrived.Add(max(minFirstEventTimeout, firstEventGoalFactor*c.route.Goal, firstEventGapFactor*c.route.MaxGap) - firstEventMargin)
+		r.FirstTokenDeadline = c.arrived.Add(max(minFirstEventTimeout, firstEventGoalFactor*c.route.Goal, firstEventGapFactor*c.route.MaxGap) - firstEventMargin)
 	}
 	return r
 }
--- a/relay/desk.go
+++ b/relay/desk.go
@@ -59,7 +59,7 @@
 func (d *dispatcher) updateRemoteLoad(server string, load residency.Load, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.deliver(d.scheduler.Reported(time.Now(), server, infra.Load{
+	d.deliver(d.scheduler.UpdateLoad(time.Now(), server, infra.Load{
 		Running:      load.InFlight + d.inFlight[server],
 		UnreadTokens: load.Unread + d.scheduler.Unread(server),
 		Contending:   load.Contending,
@@ -112,14 +112,14 @@
 	a.Work += d.scheduler.Work(&r)
 	d.arrivals[c.target] = a
 	d.calls[c.id] = c
-	d.deliver(d.scheduler.Arrive(c.arrived, r))
+	d.deliver(d.scheduler.Submit(c.arrived, r))
 }
 
 // streamStarted tells the scheduler that the first byte of the call's stream arrived.
 func (d *dispatcher) streamStarted(c *call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.deliver(d.scheduler.Began(time.Now(), c.id, c.serverID))
+	d.deliver(d.scheduler.FirstTokenReceived(time.Now(), c.id, c.serverID))
 }
 
 // attemptFailed tells the scheduler that the call's attempt failed. A decision follows.
@@ -128,7 +128,7 @@
 	defer d.mu.Unlock()
 	server := c.serverID
 	d.releaseServer(c)
-	d.deliver(d.scheduler.Failed(time.Now(), c.id, server, f))
+	d.deliver(d.scheduler.AttemptFailed(time.Now(), c.id, server, f))
 }
 
 // completed tells the scheduler that the call's response is complete.
@@ -148,7 +148,7 @@
 	defer d.mu.Unlock()
 	delete(d.calls, c.id)
 	d.releaseServer(c)
-	d.deliver(d.scheduler.Left(time.Now(), c.id))
+	d.deliver(d.scheduler.Cancel(time.Now(), c.id))
 }
 
 // refuseWaiting refuses all queued calls and all that arrive from now on.
@@ -224,7 +224,7 @@
 		"candidates": dec.Inputs.Candidates,
 		"in_flight":  dec.Inputs.InFlight,
 		"queued":     dec.Inputs.Queued,
-		"service_ms": dec.Inputs.Service.Milliseconds(),
+		"service_ms": dec.Inputs.ServiceTime.Milliseconds(),
 	}
 	if c != nil {
 		f["request"] = c.headers.ID
@@ -236,17 +236,17 @@
 		f["server"] = dec.Server.ID
 		f["score"] = strconv.FormatFloat(dec.Inputs.Score, 'g', 3, 64)
 		f["unread_tokens"] = dec.Inputs.Unread
-		f["first_ms"] = dec.Inputs.First.Milliseconds()
+		f["first_ms"] = dec.Inputs.TimeToFirstToken.Milliseconds()
 		f["load_age_ms"] = dec.Inputs.LoadAge.Milliseconds()
-		if dec.Inputs.Limit.Named {
-			f["limit_per_s"], f["granted"] = dec.Inputs.Limit.PerSecond, dec.Inputs.Granted
+		if dec.Inputs.ServerLimit.Named {
+			f["limit_per_s"], f["granted"] = dec.Inputs.ServerLimit.PerSecond, dec.Inputs.Granted
 			d.metrics.CountRateLimitedAttempt()
 		}
 		if dec.Inputs.Contending > 0 {
 			f["contending"] = dec.Inputs.Contending
 		}
 	case decide.ActionQueue:
-		f["wait_ms"] = dec.Inputs.Wait.Milliseconds()
+		f["wait_ms"] = dec.Inputs.QueueWait.Milliseconds()
 	case decide.ActionRefuse:
 		f["retry_after_ms"] = dec.RetryAfter.Milliseconds()
 	}
--- a/topology/table.go
+++ b/topology/table.go
@@ -55,12 +55,12 @@
 // still accounted for.
 func BuildTable(domain string, v *View, retry decide.RetryPolicy) *decide.Table {
 	t := &decide.Table{
-		OwnDomain:     domain,
-		Targets:       map[string]*decide.Target{},
-		Entries:       v.InstancesByDomain,
-		Retry:         retry,
-		NearFill:      localPreferenceFill,
-		NoServerQueue: true,
+		OwnDomain:      domain,
+		Targets:        map[string]*decide.Target{},
+		Entries:        v.InstancesByDomain,
+		Retry:          retry,
+		LocalFillLimit: localPreferenceFill,
+		NoServerQueue:  true,
 	}
 	for _, s := range v.Servers {
 		slots := s.Slots
@@ -108,7 +108,7 @@
 				adapter = AdapterName(n)
 			}
 			name := TargetName(s.Name, m.Name, adapter)
-			t.Targets[name] = &decide.Target{Name: name, Pool: s.Name, Model: m.Name, Adapter: adapter, Expected: loadOnDemand}
+			t.Targets[name] = &decide.Target{Name: name, Pool: s.Name, Model: m.Name, Adapter: adapter, ReplicaPending: loadOnDemand}
 		}
 	}
 }
