--- a/control/plan.go
+++ b/control/plan.go
@@ -24,14 +24,14 @@
 // planInput puts together what the planner decides on.
 func (c *core) planInput(now time.Time, cfg *config.Config) decide.PlanInput {
 	in := decide.PlanInput{
-		Now:       now,
-		Domain:    c.domain,
-		Config:    cfg,
-		Demand:    c.gathered.demand,
-		Elsewhere: elsewhere(c.others),
-		Domains:   serverDomains(c.list),
-		Stores:    c.pace.stores(),
-		StoreDown: c.gathered.storeDown,
+		Now:                 now,
+		Domain:              c.domain,
+		Config:              cfg,
+		Demand:              c.gathered.demand,
+		OtherDomainReplicas: elsewhere(c.others),
+		Domains:             serverDomains(c.list),
+		Stores:              c.pace.stores(),
+		StoreDown:           c.gathered.storeDown,
 	}
 	for _, line := range c.engines {
 		in.Servers = append(in.Servers, c.planServer(now, cfg, line))
@@ -43,14 +43,14 @@
 	s := c.servers[line.ID]
 	pool := cfg.Pools[line.Pool]
 	out := decide.PlanServer{
-		ID:        line.ID,
-		Pool:      line.Pool,
-		MemoryMiB: smallest(line.MemoryMiB, pool.MemoryMiB, s.memory()),
-		Slots:     pool.Slots,
-		Leaving:   s.leaving(),
-		Reachable: s.status != nil && s.failures == 0,
-		Since:     maps.Clone(s.since),
-		Load:      c.gathered.loads[line.ID],
+		ID:         line.ID,
+		Pool:       line.Pool,
+		MemoryMiB:  smallest(line.MemoryMiB, pool.MemoryMiB, s.memory()),
+		Slots:      pool.Slots,
+		Leaving:    s.leaving(),
+		Reachable:  s.status != nil && s.failures == 0,
+		AssignedAt: maps.Clone(s.since),
+		Load:       c.gathered.loads[line.ID],
 	}
 	want := c.view.Servers[line.ID]
 	if want != nil {
--- a/decide/admit.go
+++ b/decide/admit.go
@@ -46,7 +46,7 @@
 // prepare works out what the request needs and its place in a queue.
 func (s *Scheduler) prepare(now time.Time, f *flight) {
 	t := f.target
-	f.need, f.safe = t.expected(now, f, 0), t.expected(now, f, safeSpread)
+	f.need, f.safe = t.expectedTime(now, f, 0), t.expectedTime(now, f, safeSpread)
 	if t.stale(now) {
 		f.need, f.safe = 0, 0
 	}
@@ -65,7 +65,7 @@
 		return true
 	}
 	p := t.replicas[0].server.pool
-	return p.total == 0 && now.Sub(p.service.last) > estimateStale
+	return p.totalInFlight == 0 && now.Sub(p.service.updatedAt) > estimateStale
 }
 
 // enqueue lets the request wait, unless it would miss its deadline. It is for
@@ -98,7 +98,7 @@
 // flood: it must not take the room of the other's few requests.
 func (s *Scheduler) makeRoom(now time.Time, f *flight) bool {
 	var worst *targetState
-	for _, t := range s.fleet.ordered {
+	for _, t := range s.fleet.sortedTargets {
 		if t.queue.len() > 0 && (worst == nil || heavier(t, worst)) {
 			worst = t
 		}
@@ -144,7 +144,7 @@
 		srv := t.replicas[i].server
 		all, weights := float64(more)/float64(n), t.partner.weight
 		counted := t.partner
-		for _, r := range srv.residents {
+		for _, r := range srv.servedTargets {
 			o := r.target
 			switch {
 			case o.queue.len() == 0:
@@ -163,7 +163,7 @@
 // gap returns the seconds between two of this instance's slots at the server
 // that free: how long its requests there lately held one, by their number.
 func (s *serverState) gap() float64 {
-	return s.pool.holdTime() * s.slowness() / float64(max(s.own, 1))
+	return s.pool.holdTime() * s.relativeSlowdown() / float64(max(s.own, 1))
 }
 
 // serverGap returns the seconds between two requests that this instance may send
@@ -173,7 +173,7 @@
 	if !srv.rateLimit.Named {
 		return srv.gap()
 	}
-	return max(srv.gap(), min(1/srv.limitRate(now, &s.rationing, more), longestGap))
+	return max(srv.gap(), min(1/srv.allowedRate(now, &s.rationing, more), longestGap))
 }
 
 // gap returns the least gap of the target's servers.
--- a/decide/baselines_test.go
+++ b/decide/baselines_test.go
@@ -135,7 +135,7 @@
 	if t.Adapter != "" {
 		items = append(items, infra.Item{Model: t.Model, Adapter: t.Adapter, Version: "1", MiB: conf.Adapters[t.Adapter].MiB})
 	}
-	for e.MemoryMiB-held(e.PlanServer) < sizeOf(items) {
+	for e.MemoryMiB-occupiedMiB(e.PlanServer) < totalMiB(items) {
 		if !l.evictOldest(e, t.Model) {
 			return
 		}
--- a/decide/crowd_test.go
+++ b/decide/crowd_test.go
@@ -170,8 +170,8 @@
 func (c *crowd) contending() map[string]float64 {
 	out := map[string]float64{}
 	for _, s := range c.schedulers {
-		for _, t := range s.fleet.ordered {
-			if n := t.wanted(c.now); n > 0 {
+		for _, t := range s.fleet.sortedTargets {
+			if n := t.demand(c.now); n > 0 {
 				for _, r := range t.replicas {
 					out[r.server.ID] += n / float64(len(t.replicas))
 				}
--- a/decide/engine.go
+++ b/decide/engine.go
@@ -147,7 +147,7 @@
 // instance's own, exactly, and the others' from the report, which gives way to
 // their recent mean as it ages.
 func (s *serverState) unreadAt(now time.Time) float64 {
-	return s.withOthers(now, s.unread, s.report.UnreadTokens-s.unreadThen, s.othersUnread, unreadHalfLife)
+	return s.withOthers(now, s.unread, s.report.UnreadTokens-s.unreadAtReport, s.othersUnread, unreadHalfLife)
 }
 
 // firstToken returns the seconds until the request's first token would come from
--- a/decide/experiment_test.go
+++ b/decide/experiment_test.go
@@ -11,80 +11,80 @@
 	"greengageferry/infra"
 )
 
-// size is a deployment for the experiment.
-type size struct {
+// deploymentSize describes a deployment for the experiment.
+type deploymentSize struct {
 	name     string
 	domains  []int // backend servers in each failure domain
-	entries  []int // entry instances in each
+	entries  []int // entry instances in each failure domain
 	models   int
 	adapters int
-	guests   int // models of the other partner, in the lent part
-	mib      []int64
+	guests   int     // models of the partner "guest", in the lent part of the pool
+	mib      []int64 // model sizes, used in turn
 	store    infra.StoreLimits
-	weights  config.Partner // of the owner
+	weights  config.Partner // weights of the partner "owner"
 }
 
 const (
-	simSlots  = 8
-	simMemory = 80000 // MiB
-	simStep   = 0.025 // seconds for a token, alone
-	simTokens = 200.0 // of a mean answer
-	simPlan   = 2 * time.Second
-	simTable  = 2 * time.Second // how late a change of what is ready is known
-	simReport = time.Second     // between two exchanges of load reports
-	simSettle = 10 * time.Minute
+	simSlots          = 8
+	simMemory         = 80000 // MiB
+	simTokenTime      = 0.025 // seconds per token with one running request
+	simMeanTokens     = 200.0 // tokens of a mean answer
+	simPlanInterval   = 2 * time.Second
+	simTableInterval  = 2 * time.Second // delay until instances learn which replicas are ready
+	simReportInterval = time.Second     // interval between exchanges of load reports
+	simWarmup         = 10 * time.Minute
 )
 
 var (
-	flightKitchen = size{name: "flight-kitchen", domains: []int{5, 5, 4, 4}, entries: []int{3, 2, 2, 2}, models: 34, adapters: 94, guests: 4,
+	flightKitchen = deploymentSize{name: "flight-kitchen", domains: []int{5, 5, 4, 4}, entries: []int{3, 2, 2, 2}, models: 34, adapters: 94, guests: 4,
 		mib: []int64{10000, 16000, 28000}, store: infra.StoreLimits{LoadsPerSecond: 3, ConcurrentLoads: 3},
 		weights: config.Partner{Weight: 1, AttainmentWeight: 2, MovesWeight: 1}}
-	instituto = size{name: "instituto", domains: []int{3, 2, 2, 2}, entries: []int{3, 2, 2, 2}, models: 17, adapters: 56, guests: 2,
+	instituto = deploymentSize{name: "instituto", domains: []int{3, 2, 2, 2}, entries: []int{3, 2, 2, 2}, models: 17, adapters: 56, guests: 2,
 		mib: []int64{10000, 16000, 28000}, store: infra.StoreLimits{LoadsPerSecond: 1, ConcurrentLoads: 7},
 		weights: config.Partner{Weight: 1, AttainmentWeight: 1, MovesWeight: 2}}
-	twoYears = size{name: "two-years", domains: []int{211}, entries: []int{41}, models: 830, guests: 40,
+	twoYears = deploymentSize{name: "two-years", domains: []int{211}, entries: []int{41}, models: 830, guests: 40,
 		mib: []int64{5000, 8000, 12000}, store: infra.StoreLimits{LoadsPerSecond: 12, ConcurrentLoads: 12},
 		weights: config.Partner{Weight: 1, AttainmentWeight: 2, MovesWeight: 1}}
-	small = size{name: "small", domains: []int{3, 3}, entries: []int{2, 2}, models: 10, adapters: 6, guests: 2,
+	small = deploymentSize{name: "small", domains: []int{3, 3}, entries: []int{2, 2}, models: 10, adapters: 6, guests: 2,
 		mib: []int64{10000, 16000, 28000}, store: infra.StoreLimits{LoadsPerSecond: 2, ConcurrentLoads: 2},
 		weights: config.Partner{Weight: 1, AttainmentWeight: 1, MovesWeight: 1}}
 )
 
-// scenario is a load. Its functions take the part of the run that has passed,
+// scenario describes the offered load. Its functions take the elapsed part of the run,
 // from 0 to 1.
 type scenario struct {
-	name  string
-	load  func(x float64) float64            // of the capacity
-	skew  float64                            // exponent of the models' popularity
-	shift func(x float64, model int) float64 // factor of one model's demand; nil: 1
-	guest float64                            // part of the load that the guests ask for
-	long  float64                            // part of requests that are eight times as long
-	slow  float64                            // factor of one server's time; 0: none
+	name         string
+	load         func(x float64) float64            // as a part of the capacity
+	skew         float64                            // exponent of the power law of the models' popularity
+	demandFactor func(x float64, model int) float64 // factor of one model's demand; nil: 1
+	guest        float64                            // part of the requests that are for guest models
+	longPart     float64                            // part of the requests that are eight times as long
+	slowFactor   float64                            // factor by which one server is slower; 0: none
 }
 
-func steady(l float64) func(float64) float64 { return func(float64) float64 { return l } }
+func constantLoad(l float64) func(float64) float64 { return func(float64) float64 { return l } }
 
 var scenarios = []scenario{
-	{name: "steady", load: steady(0.6), skew: 0.6, guest: 0.1},
+	{name: "steady", load: constantLoad(0.6), skew: 0.6, guest: 0.1},
 	{name: "bursts", load: func(x float64) float64 {
 		if math.Mod(x*12, 1) < 0.25 {
 			return 1.5
 		}
 		return 0.4
 	}, skew: 0.6, guest: 0.1},
-	{name: "skew", load: steady(0.6), skew: 1.2, guest: 0.1},
-	{name: "slow-server", load: steady(0.55), skew: 0.6, guest: 0.1, slow: 4},
-	{name: "long-short", load: steady(0.75), skew: 0.6, guest: 0.1, long: 0.2},
-	{name: "saturation", load: steady(1.6), skew: 0.6, guest: 0.1},
-	{name: "owner-floods", load: steady(1.6), skew: 0.6, guest: 0.08},
-	{name: "guest-floods", load: steady(1.6), skew: 0.6, guest: 0.7},
-	{name: "tenfold", load: steady(0.55), skew: 0.6, guest: 0.1, shift: func(x float64, m int) float64 {
+	{name: "skew", load: constantLoad(0.6), skew: 1.2, guest: 0.1},
+	{name: "slow-server", load: constantLoad(0.55), skew: 0.6, guest: 0.1, slowFactor: 4},
+	{name: "long-short", load: constantLoad(0.75), skew: 0.6, guest: 0.1, longPart: 0.2},
+	{name: "saturation", load: constantLoad(1.6), skew: 0.6, guest: 0.1},
+	{name: "owner-floods", load: constantLoad(1.6), skew: 0.6, guest: 0.08},
+	{name: "guest-floods", load: constantLoad(1.6), skew: 0.6, guest: 0.7},
+	{name: "tenfold", load: constantLoad(0.55), skew: 0.6, guest: 0.1, demandFactor: func(x float64, m int) float64 {
 		if m%5 == 1 {
 			return 1 + 9*min(x*1.2, 1)
 		}
 		return 1
 	}},
-	{name: "flapping", load: steady(0.5), skew: 0.6, guest: 0.1, shift: func(x float64, m int) float64 {
+	{name: "flapping", load: constantLoad(0.5), skew: 0.6, guest: 0.1, demandFactor: func(x float64, m int) float64 {
 		if m%2 == int(x*20)%2 {
 			return 3
 		}
@@ -92,31 +92,32 @@
 	}},
 }
 
-// policy is a way to decide: routers and planners.
+// policy is a combination of a router and a planner.
 type policy struct {
 	name   string
 	router func(w *world, d *simDomain) router
 	placer func(w *world, d *simDomain) placer
 }
 
-// result is what callers saw.
+// result holds the outcome of a run as callers see it.
 type result struct {
-	asked, met, refused, moves int
-	missed                     map[string]int
-	lost                       map[string]int
-	partnerAsked, partnerMet   map[string]int
-	waits                      []float64 // seconds from arrival to dispatch
-	refusals                   []float64 // seconds from arrival to refusal
-	accelerators               int
+	requests, met, refused, moves int
+	missedByReason                map[string]int
+	missedByTarget                map[string]int
+	partnerRequests, partnerMet   map[string]int
+	waits                         []float64 // seconds from arrival to dispatch
+	refusals                      []float64 // seconds from arrival to refusal
+	accelerators                  int
 }
 
-func (r *result) attainment() float64 { return float64(r.met) / float64(max(r.asked, 1)) }
+// attainment returns the part of requests that met their deadline.
+func (r *result) attainment() float64 { return float64(r.met) / float64(max(r.requests, 1)) }
 
-func (r *result) of(partner string) float64 {
-	return float64(r.partnerMet[partner]) / float64(max(r.partnerAsked[partner], 1))
+func (r *result) partnerAttainment(partner string) float64 {
+	return float64(r.partnerMet[partner]) / float64(max(r.partnerRequests[partner], 1))
 }
 
-// p99 returns the 99th percentile of times.
+// p99 returns the 99th percentile of times, which it sorts.
 func p99(times []float64) float64 {
 	if len(times) == 0 {
 		return 0
@@ -125,7 +126,7 @@
 	return times[len(times)*99/100]
 }
 
-func (z size) config() *config.Config {
+func (z deploymentSize) config() *config.Config {
 	c := &config.Config{
 		Partners: map[string]config.Partner{"owner": z.weights, "guest": {Weight: 1, AttainmentWeight: 1, MovesWeight: 1}},
 		Pools:    map[string]config.Pool{},
@@ -152,7 +153,7 @@
 	return c
 }
 
-func (z size) meanMiB() float64 {
+func (z deploymentSize) meanMiB() float64 {
 	sum := 0.0
 	for _, mib := range z.mib {
 		sum += float64(mib)
@@ -160,13 +161,13 @@
 	return sum / float64(len(z.mib))
 }
 
-func newWorld(z size, p policy, seed uint64) *world {
+func newWorld(z deploymentSize, p policy, seed uint64) *world {
 	w := &world{
 		now: simStart, rng: rand.New(rand.NewPCG(seed, 1)), conf: z.config(),
 		engines: map[string]*simEngine{}, loading: map[string]int{},
 		stores:   map[string]infra.StoreLimits{"owner": z.store, "guest": z.store},
 		adapters: map[string][]string{},
-		result:   result{missed: map[string]int{}, lost: map[string]int{}, partnerAsked: map[string]int{}, partnerMet: map[string]int{}},
+		result:   result{missedByReason: map[string]int{}, missedByTarget: map[string]int{}, partnerRequests: map[string]int{}, partnerMet: map[string]int{}},
 	}
 	for _, a := range sortedNames(w.conf.Adapters) {
 		m := w.conf.Adapters[a].Model
@@ -175,8 +176,8 @@
 	for i, n := range z.domains {
 		d := &simDomain{name: fmt.Sprintf("d%d", i), demand: map[string]*Demand{}}
 		for j := range n {
-			e := &simEngine{domain: d.name, step: simStep, at: w.now, PlanServer: PlanServer{ID: fmt.Sprintf("%s-s%03d", d.name, j), Pool: "pool",
-				MemoryMiB: simMemory, Slots: simSlots, Reachable: true, Since: map[infra.Key]time.Time{}}}
+			e := &simEngine{domain: d.name, step: simTokenTime, at: w.now, PlanServer: PlanServer{ID: fmt.Sprintf("%s-s%03d", d.name, j), Pool: "pool",
+				MemoryMiB: simMemory, Slots: simSlots, Reachable: true, AssignedAt: map[infra.Key]time.Time{}}}
 			e.used = map[infra.Key]time.Time{}
 			w.engines[e.ID] = e
 			d.engines = append(d.engines, e)
@@ -191,16 +192,16 @@
 		}
 	}
 	w.loadMiB = z.meanMiB() * z.store.LoadsPerSecond / float64(z.store.ConcurrentLoads)
-	w.duties(z)
+	w.scheduleLoops(z)
 	return w
 }
 
-func (w *world) duties(z size) {
+func (w *world) scheduleLoops(z deploymentSize) {
 	for i, d := range w.domains {
-		w.after(time.Duration(i)*time.Second, func() { w.every(simPlan, func() { w.plan(d) }) })
+		w.after(time.Duration(i)*time.Second, func() { w.every(simPlanInterval, func() { w.runPlan(d) }) })
 	}
-	w.every(simTable, func() { w.tables(z) })
-	w.every(simReport, w.exchange)
+	w.every(simTableInterval, func() { w.publishTables(z) })
+	w.every(simReportInterval, w.exchangeReports)
 	w.every(50*time.Millisecond, func() {
 		for _, d := range w.domains {
 			for _, e := range d.entries {
@@ -210,8 +211,9 @@
 	})
 }
 
-// exchange tells each instance the loads of its domain's servers, half a second old.
-func (w *world) exchange() {
+// exchangeReports reports the loads of each domain's servers to its instances, half a
+// second late.
+func (w *world) exchangeReports() {
 	for _, d := range w.domains {
 		for _, e := range d.engines {
 			load := e.load()
@@ -224,10 +226,10 @@
 	}
 }
 
-func (w *world) plan(d *simDomain) {
-	in := PlanInput{Now: w.now, Domain: d.name, Config: w.conf, Demand: map[string]Demand{}, Elsewhere: map[string]int{}, Stores: w.stores}
+func (w *world) runPlan(d *simDomain) {
+	in := PlanInput{Now: w.now, Domain: d.name, Config: w.conf, Demand: map[string]Demand{}, OtherDomainReplicas: map[string]int{}, Stores: w.stores}
 	for name, dem := range d.demand {
-		s := simPlan.Seconds()
+		s := simPlanInterval.Seconds()
 		in.Demand[name] = Demand{dem.RequestsPerSecond / s, dem.TokensPerSecond / s, dem.RefusedPerSecond / s}
 	}
 	clear(d.demand)
@@ -240,7 +242,7 @@
 				continue
 			}
 			for _, i := range e.Assigned {
-				in.Elsewhere[nameOfItem(i)]++
+				in.OtherDomainReplicas[nameOfItem(i)]++
 			}
 		}
 	}
@@ -262,8 +264,8 @@
 	return w.conf.Models[i.Model].Owner
 }
 
-// tables tells each instance what is ready.
-func (w *world) tables(z size) {
+// publishTables gives each instance a new table if the ready replicas changed.
+func (w *world) publishTables(z deploymentSize) {
 	if !w.dirty {
 		return
 	}
@@ -294,24 +296,23 @@
 	}
 }
 
-// simulate runs a scenario for a time after the first placement and returns
-// what callers saw.
-func simulate(z size, sc scenario, p policy, seed uint64, length time.Duration) result {
+// simulate runs a scenario for length after the first placement and returns its result.
+func simulate(z deploymentSize, sc scenario, p policy, seed uint64, length time.Duration) result {
 	w := newWorld(z, p, seed)
-	w.run(simStart.Add(simSettle))
+	w.run(simStart.Add(simWarmup))
 	w.result.moves, w.moves = 0, true
-	w.drive(z, sc, length)
-	w.run(simStart.Add(simSettle + length + 25*time.Second))
+	w.generateLoad(z, sc, length)
+	w.run(simStart.Add(simWarmup + length + 25*time.Second))
 	return w.result
 }
 
-// drive makes arrivals at random, as many as the scenario's load of the capacity.
-func (w *world) drive(z size, sc scenario, length time.Duration) {
-	if sc.slow > 0 {
-		w.domains[0].engines[0].step *= sc.slow
+// generateLoad schedules random arrivals at the scenario's load.
+func (w *world) generateLoad(z deploymentSize, sc scenario, length time.Duration) {
+	if sc.slowFactor > 0 {
+		w.domains[0].engines[0].step *= sc.slowFactor
 	}
-	tokens := simTokens * (1 + sc.long*7)
-	perServer := simSlots / (simStep * (1 + simCrowding) * (tokens + 800/simPromptStep))
+	tokens := simMeanTokens * (1 + sc.longPart*7)
+	perServer := simSlots / (simTokenTime * (1 + simCrowding) * (tokens + 800/simPromptStep))
 	capacity := perServer * float64(w.result.accelerators)
 	names := sortedNames(w.conf.Models)
 	popular := w.rng.Perm(len(names))
@@ -324,13 +325,13 @@
 			return
 		}
 		n++
-		w.request(sc, x, n, names, popular)
+		w.issueRequest(sc, x, n, names, popular)
 		w.after(seconds(w.rng.ExpFloat64()/(capacity*sc.load(x))), next)
 	}
 	next()
 }
 
-func (w *world) request(sc scenario, x float64, n int, names []string, popular []int) {
+func (w *world) issueRequest(sc scenario, x float64, n int, names []string, popular []int) {
 	guest := w.rng.Float64() < sc.guest
 	weights := make([]float64, len(names))
 	sum := 0.0
@@ -339,8 +340,8 @@
 			continue
 		}
 		weights[i] = math.Pow(float64(popular[i]+3), -sc.skew)
-		if sc.shift != nil {
-			weights[i] *= sc.shift(x, i)
+		if sc.demandFactor != nil {
+			weights[i] *= sc.demandFactor(x, i)
 		}
 		sum += weights[i]
 	}
@@ -356,12 +357,12 @@
 	if as := w.adapters[target]; len(as) > 0 && w.rng.Float64() < 0.3 {
 		target = as[w.rng.IntN(len(as))]
 	}
-	mean := simTokens
-	if w.rng.Float64() < sc.long {
+	mean := simMeanTokens
+	if w.rng.Float64() < sc.longPart {
 		mean *= 8
 	}
 	tokens := int(mean * (0.5 + w.rng.Float64()))
-	deadline := 6*time.Second + time.Duration(mean*simStep*(1+simCrowding)*1.3*float64(time.Second))
+	deadline := 6*time.Second + time.Duration(mean*simTokenTime*(1+simCrowding)*1.3*float64(time.Second))
 	d := w.domains[w.rng.IntN(len(w.domains))]
 	w.arrive(d, Request{ID: fmt.Sprint("r", n), Partner: w.conf.Models[names[pick]].Owner, Target: target, Deadline: w.now.Add(deadline),
 		PromptBytes: 800, MaxTokens: int(mean * 1.5), Prefix: uint64(pick*10 + w.rng.IntN(4) + 1), Idempotent: true}, tokens)
--- a/decide/filter.go
+++ b/decide/filter.go
@@ -54,7 +54,7 @@
 type reachFilter struct{}
 
 func (reachFilter) keep(s *Scheduler, now time.Time, _ *flight, c *candidate) bool {
-	return s.reachCut || !now.Before(c.server.domain.cutTo)
+	return s.reachCut || !now.Before(c.server.domain.cutOffUntil)
 }
 
 // residentFilter drops replicas that lately said they don't have the target, and
@@ -62,10 +62,10 @@
 type residentFilter struct{}
 
 func (residentFilter) keep(_ *Scheduler, now time.Time, f *flight, c *candidate) bool {
-	if f.target.Model != "" && c.server.empty(now) {
+	if f.target.Model != "" && c.server.presumedEmpty(now) {
 		return false
 	}
-	return !now.Before(c.replica.unreadyTo)
+	return !now.Before(c.replica.unreadyUntil)
 }
 
 // avoidFilter drops the server where the request's last attempt failed.
@@ -89,7 +89,7 @@
 	case roomy:
 		most = int(math.Ceil(float64(c.server.Slots) * s.nearFill))
 	case queueing:
-		most += c.server.queueFor(c.server.pool.standing(s.fleet.everyone, f.target.partner), f.Goal)
+		most += c.server.queueFor(c.server.pool.shareStatus(s.fleet.partnerList, f.target.partner), f.Goal)
 	}
 	return c.server.room(now, most)
 }
@@ -138,5 +138,5 @@
 		need = f.safe + c.wait(f)
 	}
 	left := f.left(now)
-	return left > 0 && need*max(c.server.slowness(), 1) <= left
+	return left > 0 && need*max(c.server.relativeSlowdown(), 1) <= left
 }
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -8,55 +8,56 @@
 	"greengageferry/infra"
 )
 
-// serverState is what an instance knows of a backend server beyond the table.
+// serverState is an instance's state of one backend server, in addition to its
+// entry in the table.
 type serverState struct {
 	Server
-	listed    bool
-	noQueue   bool       // see Table.NoServerQueue
-	own       int        // this instance's requests there: exact
-	unread    int        // prompt tokens of those that have no first token yet
-	suspects  int        // of these, requests that may crash a server
-	residents []resident // what can be served there
-	pool      *poolState
+	listed        bool
+	noQueue       bool           // see Table.NoServerQueue
+	own           int            // this instance's requests at the server; exact
+	unread        int            // prompt tokens of own requests without a first token
+	suspects      int            // own requests that may crash a server
+	servedTargets []servedTarget // targets that the server has ready
+	pool          *poolState
 
-	part         float64 // this instance's part of the slots if all instances ask for them
-	window       float64 // how many requests this instance may have there now
-	report       infra.Load
-	reportedAt   time.Time
-	ownThen      int     // own when the report was made
-	unreadThen   int     // unread when the report was made
-	others       float64 // mean of the other instances' requests there
-	othersUnread float64 // mean of the other instances' unread prompt tokens there
+	slotShare      float64 // this instance's part of the slots when all instances compete for them
+	window         float64 // most requests that this instance may have at the server
+	report         infra.Load
+	reportedAt     time.Time
+	ownAtReport    int     // own when the report was made
+	unreadAtReport int     // unread when the report was made
+	othersInFlight float64 // mean number of other instances' requests at the server
+	othersUnread   float64 // mean number of other instances' unread prompt tokens there
 
-	errors   average // part of its answers that were its own failures
-	speed    average // its time for a piece of work against what the target usually takes
-	failures int     // in a row
-	refusals int     // in a row
-	lacks    int     // targets that it said it lacks, in a row
-	retryAt  time.Time
-	pausedTo time.Time // latest end of the pauses that it asked for; see Failure.RetryAfter
+	errorRate           average // fraction of answers that were the server's own failures
+	slowdown            average // time taken divided by the target's usual time; above 1 is slow
+	consecutiveFailures int
+	consecutiveRefusals int
+	consecutiveMisses   int // requests in a row for which the server reported a missing model
+	backoffUntil        time.Time
+	pausedUntil         time.Time // latest end of all pauses that the server asked for; see Failure.RetryAfter
 
 	quota      quota
 	rateLimit  limitState
 	domain     *domainState
-	emptyStart string    // the start that lost what it held
-	emptyTo    time.Time // until then it is taken to hold nothing
+	emptyStart string    // Server.Start of the process that presumably lost its models
+	emptyUntil time.Time // until then the server is presumed to hold no models
 }
 
-// poolState is what an instance knows of a pool.
+// poolState is an instance's state of one pool.
 type poolState struct {
-	speed    float64 // mean of its servers' speed
-	engine   engineModel
-	slots    int // of one of its servers
-	service  serviceTimes
-	budget   retryBudget
-	held     average // seconds that an attempt held its slot, however it ended
-	total    int     // this instance's requests there
-	inFlight []int   // this instance's requests there, by partnerState.index
+	slowdown          float64 // smoothed slowdown of all servers of the pool
+	engine            engineModel
+	slots             int // per server
+	service           serviceTimes
+	budget            retryBudget
+	held              average // seconds that attempts held a slot, whatever their outcome
+	totalInFlight     int     // this instance's requests in the pool
+	inFlightByPartner []int   // the same by partnerState.index
 }
 
-// holdTime returns the seconds that an attempt holds its slot in the mean, or what
-// stands in for them until enough have.
+// holdTime returns the mean number of seconds that an attempt holds its slot, or
+// unknownService while there are too few samples.
 func (p *poolState) holdTime() float64 {
 	if p.held.warm() {
 		return p.held.mean
@@ -64,50 +65,50 @@
 	return unknownService
 }
 
-// resident is a target that a server can serve.
-type resident struct {
+// servedTarget is a target that a server has ready.
+type servedTarget struct {
 	target  *targetState
 	replica int // index into target.replicas
 }
 
-// partnerState is what an instance knows of a partner.
+// partnerState is an instance's state of one partner.
 type partnerState struct {
 	index  int
-	weight float64 // its part of contended capacity
-	queued int
+	weight float64 // weight in sharing contended capacity
+	queued int     // requests in this instance's queues
 }
 
-// replicaState is a replica with what was learned on the way there.
+// replicaState is a replica with what failed attempts there showed.
 type replicaState struct {
-	server    *serverState
-	version   string
-	unreadyTo time.Time // it said that it doesn't have the target
-	bounces   int       // in a row
+	server            *serverState
+	version           string
+	unreadyUntil      time.Time // not used before, since the server reported the target missing
+	consecutiveMisses int
 }
 
-// targetState is what an instance knows of a target.
+// targetState is an instance's state of one target.
 type targetState struct {
 	*Target
-	partner  *partnerState
-	pool     *poolState     // nil: not known
-	replicas []replicaState // own failure domain's first
-	near     int            // how many of them are in the own failure domain
-	queue    queue
-	inFlight int
-	service  serviceTimes
-	arrivals arrivals
-	returns  returns
+	partner     *partnerState
+	pool        *poolState     // nil if unknown
+	replicas    []replicaState // those in the own failure domain first
+	near        int            // number of replicas in the own failure domain
+	queue       queue
+	inFlight    int
+	service     serviceTimes
+	arrivalRate arrivalRate
+	returns     returns
 }
 
-// fleet holds the states that outlive a table.
+// fleet holds the state that is kept when a new table replaces the old one.
 type fleet struct {
-	servers  map[string]*serverState
-	targets  map[string]*targetState
-	ordered  []*targetState // by name, so that equal inputs give equal decisions
-	pools    map[string]*poolState
-	partners map[string]*partnerState
-	everyone []*partnerState // the partners, by index
-	domains  map[string]*domainState
+	servers       map[string]*serverState
+	targets       map[string]*targetState
+	sortedTargets []*targetState // by name, so that decisions are deterministic
+	pools         map[string]*poolState
+	partners      map[string]*partnerState
+	partnerList   []*partnerState // by partnerState.index
+	domains       map[string]*domainState
 }
 
 func newFleet() fleet {
@@ -120,15 +121,15 @@
 	}
 }
 
-// set takes in a table and returns the targets that it no longer has.
-func (f *fleet) set(now time.Time, t *Table) (gone []*targetState) {
-	listed := f.setServers(now, t)
+// applyTable replaces the table and returns the targets that are no longer in it.
+func (f *fleet) applyTable(now time.Time, t *Table) (gone []*targetState) {
+	listed := f.updateServers(now, t)
 	for _, p := range f.pools {
 		p.budget.setPolicy(t.Retry)
 	}
-	f.ordered = f.ordered[:0]
+	f.sortedTargets = f.sortedTargets[:0]
 	for _, name := range sortedNames(t.Targets) {
-		f.ordered = append(f.ordered, f.setTarget(t, t.Targets[name], listed))
+		f.sortedTargets = append(f.sortedTargets, f.updateTarget(t, t.Targets[name], listed))
 	}
 	for name, ts := range f.targets {
 		if t.Targets[name] == nil {
@@ -140,10 +141,10 @@
 	return gone
 }
 
-func (f *fleet) setServers(now time.Time, t *Table) []*serverState {
+func (f *fleet) updateServers(now time.Time, t *Table) []*serverState {
 	for _, s := range f.servers {
 		s.listed = false
-		s.residents = s.residents[:0]
+		s.servedTargets = s.servedTargets[:0]
 	}
 	instances := CountInstances(t.Entries)
 	listed := make([]*serverState, len(t.Servers))
@@ -154,7 +155,7 @@
 			f.servers[srv.ID] = s
 		}
 		if s.Start != srv.Start {
-			s.rateLimit, s.pausedTo = limitState{}, time.Time{} // a restart resets both
+			s.rateLimit, s.pausedUntil = limitState{}, time.Time{} // a restart clears both
 		}
 		s.Server, s.listed, s.noQueue = srv, true, t.NoServerQueue
 		s.Slots = max(s.Slots, 1)
@@ -165,15 +166,15 @@
 		listed[i] = s
 	}
 	for id, s := range f.servers {
-		// A pause also applies to a server that is listed again before it ends.
-		if !s.listed && s.own == 0 && !now.Before(s.pausedTo) {
+		// A server that is listed again before its pause ends is still paused.
+		if !s.listed && s.own == 0 && !now.Before(s.pausedUntil) {
 			delete(f.servers, id)
 		}
 	}
 	return listed
 }
 
-func (f *fleet) setTarget(t *Table, target *Target, listed []*serverState) *targetState {
+func (f *fleet) updateTarget(t *Table, target *Target, listed []*serverState) *targetState {
 	ts := f.targets[target.Name]
 	if ts == nil {
 		ts = &targetState{}
@@ -190,8 +191,8 @@
 	for _, near := range []bool{true, false} {
 		for _, r := range target.Replicas {
 			if s := listed[r.Server]; (s.FailureDomain == t.OwnDomain) == near {
-				s.residents = append(s.residents, resident{ts, len(ts.replicas)})
-				ts.replicas = append(ts.replicas, keepBounces(old, s, r.Version))
+				s.servedTargets = append(s.servedTargets, servedTarget{ts, len(ts.replicas)})
+				ts.replicas = append(ts.replicas, previousState(old, s, r.Version))
 			}
 		}
 		if near {
@@ -201,8 +202,8 @@
 	return ts
 }
 
-// keepBounces returns the replica's state, with what was learned of it before.
-func keepBounces(old []replicaState, s *serverState, version string) replicaState {
+// previousState returns the replica's state from the old table, or a new one.
+func previousState(old []replicaState, s *serverState, version string) replicaState {
 	for i := range old {
 		if old[i].server == s && old[i].version == version {
 			return old[i]
@@ -214,7 +215,7 @@
 func (f *fleet) pool(name string) *poolState {
 	p := f.pools[name]
 	if p == nil {
-		p = &poolState{speed: 1, budget: newRetryBudget()}
+		p = &poolState{slowdown: 1, budget: newRetryBudget()}
 		f.pools[name] = p
 	}
 	return p
@@ -225,54 +226,54 @@
 	if p == nil {
 		p = &partnerState{index: len(f.partners), weight: 1}
 		f.partners[name] = p
-		f.everyone = append(f.everyone, p)
+		f.partnerList = append(f.partnerList, p)
 	}
 	return p
 }
 
-// share returns how much of the pool the partner has through this instance, by
-// its weight.
-func (p *poolState) share(partner *partnerState) float64 {
-	if partner.index >= len(p.inFlight) {
+// weightedShare returns the partner's requests in the pool from this instance,
+// divided by its weight.
+func (p *poolState) weightedShare(partner *partnerState) float64 {
+	if partner.index >= len(p.inFlightByPartner) {
 		return 0
 	}
-	return float64(p.inFlight[partner.index]) / partner.weight
+	return float64(p.inFlightByPartner[partner.index]) / partner.weight
 }
 
-// standing is how a partner's part of a pool compares with the others'.
-type standing int
+// shareStatus compares a partner's weighted share of a pool with the other partners'.
+type shareStatus int
 
-// The standings. A partner that nobody contends with is even.
+// The share statuses. A partner without competition has evenShare.
 const (
-	under standing = iota - 1
-	even
-	over
+	underShare shareStatus = iota - 1
+	evenShare
+	overShare
 )
 
-// standing compares the partner's part of the pool, by its weight, with those of
-// the other partners that ask for something there.
-func (p *poolState) standing(all []*partnerState, partner *partnerState) standing {
-	mine := p.share(partner)
-	st := even
+// shareStatus compares the partner's weighted share of the pool with those of the
+// other partners that have requests in flight there or queued.
+func (p *poolState) shareStatus(all []*partnerState, partner *partnerState) shareStatus {
+	mine := p.weightedShare(partner)
+	st := evenShare
 	for _, other := range all {
-		theirs := p.share(other)
+		theirs := p.weightedShare(other)
 		switch {
 		case other == partner || theirs == 0 && other.queued == 0:
 		case theirs < mine:
-			return over
+			return overShare
 		case theirs > mine:
-			st = under
+			st = underShare
 		}
 	}
 	return st
 }
 
-func (p *poolState) count(partner *partnerState, n int) {
-	for partner.index >= len(p.inFlight) {
-		p.inFlight = append(p.inFlight, 0)
+func (p *poolState) addInFlight(partner *partnerState, n int) {
+	for partner.index >= len(p.inFlightByPartner) {
+		p.inFlightByPartner = append(p.inFlightByPartner, 0)
 	}
-	p.inFlight[partner.index] += n
-	p.total += n
+	p.inFlightByPartner[partner.index] += n
+	p.totalInFlight += n
 }
 
 func weightOf(t *Table, partner string) float64 {
@@ -282,7 +283,7 @@
 	return 1
 }
 
-// replica returns the target's state at a server, or nil.
+// replica returns the target's replica on the server, or nil.
 func (t *targetState) replica(s *serverState) *replicaState {
 	for i := range t.replicas {
 		if t.replicas[i].server == s {
@@ -294,18 +295,18 @@
 
 // available reports whether the server is neither paused nor in backoff after failures.
 func (s *serverState) available(now time.Time) bool {
-	return !now.Before(s.retryAt) && !now.Before(s.pausedTo)
+	return !now.Before(s.backoffUntil) && !now.Before(s.pausedUntil)
 }
 
 // pauseFor pauses requests to the server for d. It never shortens a pause.
 func (s *serverState) pauseFor(now time.Time, d time.Duration) {
-	if to := now.Add(d); to.After(s.pausedTo) {
-		s.pausedTo = to
+	if to := now.Add(d); to.After(s.pausedUntil) {
+		s.pausedUntil = to
 	}
 }
 
-// remainingPause returns the seconds until the first pause of the target's servers ends,
-// 0 unless all of them are paused. Unlisted and leaving servers don't count.
+// remainingPause returns the seconds until the first of the target's servers ends its
+// pause, or 0 unless all of them are paused. Unlisted and leaving servers don't count.
 func (t *targetState) remainingPause(now time.Time) float64 {
 	least := 0.0
 	for i := range t.replicas {
@@ -313,7 +314,7 @@
 		if !s.listed || s.Leaving {
 			continue
 		}
-		left := s.pausedTo.Sub(now).Seconds()
+		left := s.pausedUntil.Sub(now).Seconds()
 		if left <= 0 {
 			return 0
 		}
@@ -324,15 +325,15 @@
 	return least
 }
 
-// backIn returns the seconds until some replica may be tried again, if none can
-// be used now; a long time where none is known to come back.
-func (t *targetState) backIn(now time.Time) float64 {
-	back := maxRetryAfter.Seconds()
+// untilAvailable returns the seconds until some replica may be tried again, or
+// maxRetryAfter if none is known to become available sooner.
+func (t *targetState) untilAvailable(now time.Time) float64 {
+	wait := maxRetryAfter.Seconds()
 	for i := range t.replicas {
 		r := &t.replicas[i]
 		if r.server.listed && !r.server.Leaving {
-			back = min(back, max(r.unreadyTo.Sub(now), r.server.retryAt.Sub(now), r.server.pausedTo.Sub(now), 0).Seconds())
+			wait = min(wait, max(r.unreadyUntil.Sub(now), r.server.backoffUntil.Sub(now), r.server.pausedUntil.Sub(now), 0).Seconds())
 		}
 	}
-	return back
+	return wait
 }
--- a/decide/flight.go
+++ b/decide/flight.go
@@ -27,7 +27,7 @@
 // late says whether the request would probably miss its deadline if it had to
 // wait some more seconds first.
 func (f *flight) late(now time.Time, wait float64) bool {
-	if !f.StartBy.IsZero() && f.delivered == 0 && f.StartBy.Sub(now).Seconds() < wait+f.target.firstToken(now, f) {
+	if !f.StartBy.IsZero() && f.delivered == 0 && f.StartBy.Sub(now).Seconds() < wait+f.target.expectedFirstToken(now, f) {
 		return true
 	}
 	return f.left(now) < wait+f.safe
@@ -37,7 +37,7 @@
 // even if it were sent now, to a server with as much to read as one may have that
 // gets another prompt: those that wait are sent as servers come down to that.
 func (f *flight) missesGoal(now time.Time) bool {
-	return f.Goal > 0 && now.Sub(f.Arrived).Seconds()+f.target.readAhead(f)+f.target.firstToken(now, f) > f.Goal.Seconds()
+	return f.Goal > 0 && now.Sub(f.Arrived).Seconds()+f.target.expectedReadWait(f)+f.target.expectedFirstToken(now, f) > f.Goal.Seconds()
 }
 
 // left returns the time, in seconds, to the request's deadline.
--- a/decide/goal_test.go
+++ b/decide/goal_test.go
@@ -10,7 +10,7 @@
 	"greengageferry/infra"
 )
 
-// fullServer returns a scheduler with one server whose slots are all taken, by
+// fullServer returns a scheduler with one server whose slots are all taken by the
 // requests busy0, busy1 and so on.
 func fullServer(slots int, change func(*Table)) *Scheduler {
 	t := testTable(1, slots, 1, "am")
@@ -25,7 +25,7 @@
 	return s
 }
 
-func withGoal(id string, arrived time.Time, goal time.Duration) Request {
+func requestWithGoal(id string, arrived time.Time, goal time.Duration) Request {
 	r := ask(id, "am", time.Minute)
 	r.Arrived, r.Deadline, r.Goal = arrived, arrived.Add(time.Minute), goal
 	return r
@@ -34,24 +34,25 @@
 func TestNoServerQueueKeepsRequestsFromFullServers(t *testing.T) {
 	s := fullServer(2, nil)
 	require.Equal(t, ActionQueue, s.Arrive(simStart, ask("late", "am", time.Hour))[0].Action)
-	lined := testScheduler(testTable(1, 2, 1, "am"))
+	withServerQueue := testScheduler(testTable(1, 2, 1, "am"))
 	for i := range 3 {
-		require.Equal(t, ActionDispatch, lined.Arrive(simStart, ask(fmt.Sprint(i), "am", time.Hour))[0].Action)
+		require.Equal(t, ActionDispatch, withServerQueue.Arrive(simStart, ask(fmt.Sprint(i), "am", time.Hour))[0].Action)
 	}
 }
 
-// Overload: a request comes each 100 ms, the only slot frees each 300 ms, and
-// the goal is 250 ms. By deadline each one in turn would start too late.
-func TestInOverloadTheNewGoBeforeThoseThatMissedTheirGoal(t *testing.T) {
+// In overload, serving requests in order of deadline would make each of them miss its
+// goal. Here a request arrives every 100 ms, the only slot becomes free every 300 ms, and
+// the goal is 250 ms.
+func TestInOverloadNewRequestsGoBeforeThoseThatMissedTheirGoal(t *testing.T) {
 	const goal = 250 * time.Millisecond
 	s := fullServer(1, nil)
-	running, made := "busy0", 0
+	running, goalsMet := "busy0", 0
 	arrived := map[string]time.Time{}
 	for step := range 60 {
 		now := simStart.Add(time.Duration(step) * 100 * time.Millisecond)
 		id := fmt.Sprint("r", step)
 		arrived[id] = now
-		s.Arrive(now, withGoal(id, now, goal))
+		s.Arrive(now, requestWithGoal(id, now, goal))
 		s.Tick(now)
 		if step%3 != 2 {
 			continue
@@ -60,17 +61,17 @@
 			if d.Action == ActionDispatch {
 				running = d.Request
 				if now.Sub(arrived[running]) <= goal {
-					made++
+					goalsMet++
 				}
 			}
 		}
 	}
-	require.GreaterOrEqual(t, made, 18, "nearly each of the 20 slots goes to a request that can make its goal")
+	require.GreaterOrEqual(t, goalsMet, 18, "nearly all of the 20 free slots must go to requests that can meet their goal")
 }
 
-func TestWhatMissedItsGoalIsServedWhenNothingElseWaits(t *testing.T) {
+func TestRequestThatMissedItsGoalIsServedWhenNothingElseWaits(t *testing.T) {
 	s := fullServer(1, nil)
-	s.Arrive(simStart, withGoal("old", simStart, 100*time.Millisecond))
+	s.Arrive(simStart, requestWithGoal("old", simStart, 100*time.Millisecond))
 	now := simStart.Add(time.Second)
 	s.Tick(now)
 	d := s.Left(now, "busy0")
@@ -78,9 +79,9 @@
 	require.Equal(t, "old", d[0].Request)
 }
 
-func TestNobodyIsHeldBeyondTheTimeItsCallerWaitsForAFirstToken(t *testing.T) {
+func TestQueuedRequestIsRefusedAtStartBy(t *testing.T) {
 	s := fullServer(1, nil)
-	r := withGoal("r", simStart, 100*time.Millisecond)
+	r := requestWithGoal("r", simStart, 100*time.Millisecond)
 	r.StartBy = simStart.Add(2 * time.Second)
 	s.Arrive(simStart, r)
 	require.Empty(t, s.Tick(simStart.Add(time.Second)))
@@ -91,7 +92,7 @@
 	require.Positive(t, d[0].RetryAfter)
 }
 
-func TestAnExpectedReplicaIsWaitedFor(t *testing.T) {
+func TestRequestsWaitForAnExpectedReplica(t *testing.T) {
 	table := testTable(1, 2, 1, "am")
 	table.Targets["am"].Replicas = nil
 	s := testScheduler(table)
@@ -105,7 +106,7 @@
 	require.Equal(t, ActionDispatch, d[0].Action)
 }
 
-func TestNearServersGoFirstOnlyUpToTheirFill(t *testing.T) {
+func TestLocalServersArePreferredOnlyUpToNearFill(t *testing.T) {
 	table := testTable(2, 10, 1, "am")
 	table.Servers[1].FailureDomain = "d1"
 	table.NearFill = 0.2
@@ -116,10 +117,10 @@
 			far++
 		}
 	}
-	require.GreaterOrEqual(t, far, 2, "two of ten slots are near first; then both are as good")
+	require.GreaterOrEqual(t, far, 2, "local servers are preferred for two of ten slots, then both are equal")
 }
 
-func TestRetryPolicyBoundsEachPoolAndCountsRefusedOnes(t *testing.T) {
+func TestRetryPolicyBoundsRetriesPerPoolAndCountsRefusals(t *testing.T) {
 	table := testTable(2, 100, 1, "am")
 	table.Retry = RetryPolicy{Share: 0.1, Reserve: 3, CountRefused: true}
 	s := testScheduler(table)
@@ -136,7 +137,7 @@
 	require.Equal(t, 3, retried)
 }
 
-func TestMaxAttemptsBoundsTheServersOfARequest(t *testing.T) {
+func TestMaxAttemptsBoundsServersPerRequest(t *testing.T) {
 	s := testScheduler(testTable(3, 10, 1, "am"))
 	r := ask("once", "am", time.Hour)
 	r.MaxAttempts = 1
@@ -145,9 +146,9 @@
 	require.Equal(t, ActionRefuse, after[0].Action)
 }
 
-// A failure domain is cut off: its servers' connections are never made. A request
-// that may be sent to one server only still finds the one that can be reached.
-func TestAttemptsThatReachNoServerDontCount(t *testing.T) {
+// In a failure domain that is cut off no connection is established. A request that may be
+// sent to only one server must still reach the one server that can be reached.
+func TestUnsentAttemptsDoNotCount(t *testing.T) {
 	table := testTable(4, 10, 1, "am")
 	table.Retry = RetryPolicy{Share: 0.1, Reserve: 1, CountRefused: true}
 	s := testScheduler(table)
@@ -165,8 +166,8 @@
 	}
 }
 
-// One of three servers fails half of its answers while its health check is good.
-func TestAServerThatFailsAnswersGetsLess(t *testing.T) {
+// One of three servers fails half of its answers although its health check succeeds.
+func TestServerThatFailsAnswersGetsFewerRequests(t *testing.T) {
 	s := testScheduler(testTable(3, 100, 1, "am"))
 	sent := map[string]int{}
 	for i := range 600 {
@@ -183,6 +184,6 @@
 		}
 		answered(s, now, id, d.Server.ID)
 	}
-	require.Less(t, sent["s0"], 60, "an even part would be 133")
-	require.Positive(t, sent["s0"], "it is tried again, to see whether it is well")
+	require.Less(t, sent["s0"], 60, "an equal share would be 133")
+	require.Positive(t, sent["s0"], "the server must be tried again, to detect its recovery")
 }
--- a/decide/load.go
+++ b/decide/load.go
@@ -44,8 +44,8 @@
 // of instances in the server's failure domain. It is for instances that all ask
 // for the same server at once while they read the same stale report.
 func (s *serverState) setPart(instances int) {
-	s.part = max(1, float64(s.Slots)*(1+engineQueue)/float64(max(instances, 1)))
-	s.window = max(s.window, s.part)
+	s.slotShare = max(1, float64(s.Slots)*(1+engineQueue)/float64(max(instances, 1)))
+	s.window = max(s.window, s.slotShare)
 }
 
 // reported takes in a load report. A window grows with each report that shows
@@ -56,18 +56,18 @@
 	if at.Before(s.reportedAt) {
 		return
 	}
-	s.report, s.reportedAt, s.ownThen, s.unreadThen = load, at, s.own, s.unread
+	s.report, s.reportedAt, s.ownAtReport, s.unreadAtReport = load, at, s.own, s.unread
 	s.othersUnread += othersMemory * (float64(max(load.UnreadTokens-s.unread, 0)) - s.othersUnread)
-	s.others += othersMemory * (float64(max(load.Running+load.Waiting-s.own, 0)) - s.others)
+	s.othersInFlight += othersMemory * (float64(max(load.Running+load.Waiting-s.own, 0)) - s.othersInFlight)
 	if load.Slots > 0 {
 		s.Slots = load.Slots
 	}
 	free := float64(s.Slots - load.Running - load.Waiting)
 	switch {
 	case free > 0:
-		s.window = max(s.window, min(float64(s.own)+1+free*s.part/float64(s.Slots), float64(s.limit())))
+		s.window = max(s.window, min(float64(s.own)+1+free*s.slotShare/float64(s.Slots), float64(s.limit())))
 	case load.Waiting > s.limit()-s.Slots:
-		s.window = max(s.part, min(s.window, float64(s.own))*windowShrink)
+		s.window = max(s.slotShare, min(s.window, float64(s.own))*windowShrink)
 	}
 }
 
@@ -83,7 +83,7 @@
 // exactly, and the others' from the report. As that ages it gives way to their
 // recent mean, and never to zero: a server doesn't empty because it is silent.
 func (s *serverState) load(now time.Time) float64 {
-	return s.withOthers(now, s.own, s.report.Running+s.report.Waiting-s.ownThen, s.others, reportHalfLife)
+	return s.withOthers(now, s.own, s.report.Running+s.report.Waiting-s.ownAtReport, s.othersInFlight, reportHalfLife)
 }
 
 // withOthers adds to this instance's own what the others have at the server: as
@@ -111,14 +111,14 @@
 
 // queueFor returns how many requests may wait at the server for a partner to
 // add one with a goal.
-func (s *serverState) queueFor(st standing, goal time.Duration) int {
+func (s *serverState) queueFor(st shareStatus, goal time.Duration) int {
 	if s.noQueue {
 		return s.shortQueue(goal)
 	}
 	switch st {
-	case under:
+	case underShare:
 		return int(math.Ceil(float64(s.Slots) * underQueue))
-	case over:
+	case overShare:
 		return (s.limit() - s.Slots) / 2
 	}
 	return s.limit() - s.Slots
@@ -136,7 +136,7 @@
 	if !s.pool.held.warm() {
 		return s.Slots
 	}
-	return min(int(goalQueue*goal.Seconds()/max(s.pool.held.mean, leastHeld)*float64(s.Slots)), mostShort*s.Slots)
+	return min(int(goalQueue*goal.Seconds()/max(s.pool.held.mean, minHoldTime)*float64(s.Slots)), mostShort*s.Slots)
 }
 
 // fast says whether the server's slots free more often than it is reported of. A
@@ -145,20 +145,20 @@
 func (s *serverState) fast() bool {
 	held := s.pool.held
 	if held.n < fastSamples {
-		return len(s.residents) > 0 && s.residents[0].target.Service
+		return len(s.servedTargets) > 0 && s.servedTargets[0].target.Service
 	}
-	return held.mean+held.dev < Horizon.Seconds()
+	return held.mean+held.dev < ArrivalHorizon.Seconds()
 }
 
 // room says whether the instance may send the server one more request, so that
 // it has at most so many.
 func (s *serverState) room(now time.Time, most int) bool {
-	if s.quota.limited && now.Sub(s.quota.at) < quotaFor {
-		return s.quota.left > 0
+	if s.quota.limited && now.Sub(s.quota.lastReportAt) < quotaTTL {
+		return s.quota.remaining > 0
 	}
 	window := s.window
 	if now.Sub(s.reportedAt) > reportTooOld {
-		window = s.part
+		window = s.slotShare
 	}
 	if float64(s.own)+1 > math.Floor(window) {
 		return false
--- a/decide/pause_test.go
+++ b/decide/pause_test.go
@@ -14,7 +14,7 @@
 // testRetryAfter is the pause that refusing servers ask for.
 const testRetryAfter = 3 * time.Second
 
-// refuseWithRetryAfter steps the scheduler with a refusal by the server.
+// refuseWithRetryAfter reports to the scheduler that the server refused the request.
 func refuseWithRetryAfter(s *Scheduler, now time.Time, id, server string, retryAfter time.Duration) []Decision {
 	return s.Failed(now, id, server, Failure{Reason: infra.ReasonOverloaded, Effect: infra.EffectNone, RetryAfter: retryAfter})
 }
--- a/decide/placement.go
+++ b/decide/placement.go
@@ -7,42 +7,42 @@
 	"greengageferry/infra"
 )
 
-// PlanServer is a backend server of the planner's failure domain.
+// PlanServer is a backend server in the planner's failure domain.
 type PlanServer struct {
-	ID        string
-	Pool      string
-	MemoryMiB int64
-	Slots     int
-	Leaving   bool
-	Reachable bool
-	Assigned  []infra.Item // what the log says it may hold
-	Lingering []infra.Item // memory not yet free
-	Ready     []infra.Item
-	Since     map[infra.Key]time.Time // when each assigned item was assigned, as far as the planner saw
-	Load      infra.Load              // its last report; Slots of 0: none
+	ID         string
+	Pool       string
+	MemoryMiB  int64
+	Slots      int
+	Leaving    bool
+	Reachable  bool
+	Assigned   []infra.Item // items that the log assigns to the server
+	Lingering  []infra.Item // dropped items whose memory isn't confirmed free
+	Ready      []infra.Item
+	AssignedAt map[infra.Key]time.Time // by item: when it was assigned, as far as the planner observed
+	Load       infra.Load              // last load report; Slots is 0 if there is none
 }
 
-// Demand is what callers lately asked of a model or adapter in this failure domain.
+// Demand is the recent request load for a model or adapter in this failure domain.
 type Demand struct {
 	RequestsPerSecond float64
 	TokensPerSecond   float64
-	RefusedPerSecond  float64 // refused for want of capacity
+	RefusedPerSecond  float64 // refused for lack of capacity
 }
 
-// PlanInput is everything that placement decides on.
+// PlanInput is the complete input of one plan.
 type PlanInput struct {
-	Now       time.Time
-	Domain    string
-	Config    *config.Config
-	Servers   []PlanServer                 // of this failure domain
-	Demand    map[string]Demand            // by model or adapter name
-	Elsewhere map[string]int               // replicas of each model or adapter in other failure domains
-	Domains   []string                     // all failure domains that have servers, sorted
-	Stores    map[string]infra.StoreLimits // by partner
-	StoreDown bool
+	Now                 time.Time
+	Domain              string
+	Config              *config.Config
+	Servers             []PlanServer                 // of this failure domain
+	Demand              map[string]Demand            // by model or adapter name
+	OtherDomainReplicas map[string]int               // replicas of each model or adapter in other failure domains
+	Domains             []string                     // all failure domains with servers, sorted
+	Stores              map[string]infra.StoreLimits // weight store limits by partner
+	StoreDown           bool
 }
 
-// Move is one change of a server's assignment: drop some items, add some.
+// Move is one change of a server's assignment.
 type Move struct {
 	Server string
 	Add    []infra.Item
@@ -51,58 +51,62 @@
 	Gain   float64 // expected gain in the objective
 }
 
-// Planner decides what each backend server of a failure domain is assigned. It
-// keeps what hysteresis needs between plans; it has one owner.
+// Planner decides which models and adapters each backend server of a failure domain
+// is assigned. It keeps state between plans for hysteresis and isn't safe for
+// concurrent use.
 //
-// The objective is requests within their deadline, less loads. It is
-// approximated greedily, each step after the ones before it: what isn't
-// declared goes; each model and adapter gets a replica; new versions replace
-// old ones; each gets a second replica in another failure domain where room
-// allows; and replicas are added where callers lose more requests than a load
-// is worth. A replica that isn't needed stays until its memory is.
+// The objective is the number of requests that meet their deadline, less the cost of
+// loads. A plan approximates it greedily in this order:
+//   - drop items that are no longer declared;
+//   - place a first replica of each model and adapter;
+//   - replace old versions by new ones;
+//   - place second replicas in another failure domain where memory is free;
+//   - add replicas where the lost requests outweigh the cost of a load.
+//
+// An unneeded replica stays until its memory is needed.
 type Planner struct {
-	last        time.Time
-	homes       homesCache
-	missing     map[string]time.Time // since when a name has had no replica anywhere
-	unreachable map[string]time.Time // since when a server hasn't been reached
-	pressure    map[string]float64   // by server: requests there for each slot, smoothed
-	regret      map[string]float64   // by name: worth of the requests lately lost for want of a replica
-	reserved    []reservation
-	copied      map[string]string // by name: the server whose replica's new version was placed on another
-	budget      loadBudget
+	lastPlan         time.Time
+	homes            homesCache
+	missingSince     map[string]time.Time // by name: since when it has had no replica anywhere
+	unreachableSince map[string]time.Time // by server: since when it has been unreachable
+	utilization      map[string]float64   // by server: requests per slot, smoothed
+	lostDemand       map[string]float64   // by name: weighted number of requests recently lost for lack of a replica
+	reservations     []reservation
+	updateSource     map[string]string // by name: server whose replica is updated by a load on another server
+	budget           loadBudget
 }
 
 // NewPlanner returns a planner without history.
 func NewPlanner() *Planner {
 	return &Planner{
-		missing:     map[string]time.Time{},
-		unreachable: map[string]time.Time{},
-		pressure:    map[string]float64{},
-		regret:      map[string]float64{},
-		copied:      map[string]string{},
-		budget:      loadBudget{tokens: map[string]float64{}},
+		missingSince:     map[string]time.Time{},
+		unreachableSince: map[string]time.Time{},
+		utilization:      map[string]float64{},
+		lostDemand:       map[string]float64{},
+		updateSource:     map[string]string{},
+		budget:           loadBudget{tokens: map[string]float64{}},
 	}
 }
 
-// Plan returns the moves to make now, best first, within the store's limits. A
-// move fits its server's memory at once, lingering items included: what has to
-// wait for memory comes in a later plan.
+// Plan returns the moves to make now, best first, within the weight store's limits.
+// Each move fits into its server's memory at once, lingering items included. Loads
+// that have to wait for memory come in a later plan.
 func (p *Planner) Plan(in PlanInput) []Move {
 	if in.Config == nil {
 		return nil
 	}
-	w := p.view(in)
-	p.observe(w)
+	w := p.newPlanState(in)
+	p.recordLostDemand(w)
 	if in.StoreDown {
 		return nil
 	}
 	w.dropUndeclared()
-	w.useReservations()
-	complete := w.placeFirst()
-	w.changeVersions()
+	w.fulfillReservations()
+	complete := w.placeFirstReplicas()
+	w.updateVersions()
 	if complete {
-		w.placeSecond()
-		w.shift()
+		w.placeSecondReplicas()
+		w.rebalance()
 	}
-	return w.result()
+	return w.sortedMoves()
 }
--- a/decide/placement_test.go
+++ b/decide/placement_test.go
@@ -14,36 +14,36 @@
 	"greengageferry/infra"
 )
 
-// plant is failure domains whose engines do at once what the moves say, and
-// which give memory back a plan later.
-type plant struct {
-	t        require.TestingT
-	now      time.Time
-	conf     *config.Config
-	domains  []string
-	servers  map[string][]PlanServer
-	planners map[string]*Planner
-	stores   map[string]infra.StoreLimits
-	demand   map[string]Demand
-	cut      string // a domain that doesn't plan
-	down     bool   // the store
-	loads    int
+// planSim simulates failure domains whose engines carry out moves at once and release
+// the memory of dropped items one plan later.
+type planSim struct {
+	t          require.TestingT
+	now        time.Time
+	conf       *config.Config
+	domains    []string
+	servers    map[string][]PlanServer
+	planners   map[string]*Planner
+	stores     map[string]infra.StoreLimits
+	demand     map[string]Demand
+	idleDomain string // domain whose planner doesn't run
+	storeDown  bool   // whether the weight store is down
+	loads      int
 }
 
-func newPlant(t require.TestingT, conf *config.Config, servers int) *plant {
-	p := &plant{t: t, now: simStart, conf: conf, domains: conf.Pools["pool"].FailureDomains, servers: map[string][]PlanServer{}, planners: map[string]*Planner{}}
+func newPlanSim(t require.TestingT, conf *config.Config, servers int) *planSim {
+	p := &planSim{t: t, now: simStart, conf: conf, domains: conf.Pools["pool"].FailureDomains, servers: map[string][]PlanServer{}, planners: map[string]*Planner{}}
 	for _, d := range p.domains {
 		p.planners[d] = NewPlanner()
 		for i := range servers {
 			p.servers[d] = append(p.servers[d], PlanServer{ID: fmt.Sprint(d, "-", i), Pool: "pool", MemoryMiB: simMemory, Slots: simSlots, Reachable: true,
-				Since: map[infra.Key]time.Time{}})
+				AssignedAt: map[infra.Key]time.Time{}})
 		}
 	}
 	return p
 }
 
-// step plans once in each domain and carries the moves out.
-func (p *plant) step(by time.Duration) (moves int) {
+// step advances the time, plans once in each domain and carries out the moves.
+func (p *planSim) step(by time.Duration) (moves int) {
 	p.now = p.now.Add(by)
 	for _, d := range p.domains {
 		servers := p.servers[d]
@@ -51,19 +51,19 @@
 			servers[i].Lingering = nil
 			servers[i].Ready = slices.Clone(servers[i].Assigned)
 		}
-		if d == p.cut {
+		if d == p.idleDomain {
 			continue
 		}
 		for _, m := range p.planners[d].Plan(PlanInput{Now: p.now, Domain: d, Config: p.conf, Servers: servers, Demand: p.demand,
-			Elsewhere: p.elsewhere(d), Domains: p.domains, Stores: p.stores, StoreDown: p.down}) {
+			OtherDomainReplicas: p.otherDomainReplicas(d), Domains: p.domains, Stores: p.stores, StoreDown: p.storeDown}) {
 			moves++
-			p.carryOut(&servers[slices.IndexFunc(servers, func(s PlanServer) bool { return s.ID == m.Server })], m)
+			p.apply(&servers[slices.IndexFunc(servers, func(s PlanServer) bool { return s.ID == m.Server })], m)
 		}
 	}
 	return moves
 }
 
-func (p *plant) carryOut(s *PlanServer, m Move) {
+func (p *planSim) apply(s *PlanServer, m Move) {
 	for _, drop := range m.Drop {
 		s.Assigned = slices.DeleteFunc(s.Assigned, func(i infra.Item) bool { return i == drop })
 		s.Ready = slices.DeleteFunc(s.Ready, func(i infra.Item) bool { return i == drop })
@@ -71,17 +71,17 @@
 	}
 	for _, add := range m.Add {
 		s.Assigned = append(s.Assigned, add)
-		s.Since[add.Key()] = p.now
+		s.AssignedAt[add.Key()] = p.now
 		p.loads++
 		require.True(p.t, !s.Leaving)
 		if add.Adapter != "" {
-			require.True(p.t, slices.ContainsFunc(s.Assigned, func(i infra.Item) bool { return i.Model == add.Model && i.Adapter == "" }), "an adapter beside its model")
+			require.True(p.t, slices.ContainsFunc(s.Assigned, func(i infra.Item) bool { return i.Model == add.Model && i.Adapter == "" }), "an adapter needs its model on the same server")
 		}
 	}
-	require.LessOrEqual(p.t, held(*s), s.MemoryMiB, "memory, lingering items included: %v on %v", m, s)
+	require.LessOrEqual(p.t, occupiedMiB(*s), s.MemoryMiB, "memory, lingering items included: %v on %v", m, s)
 }
 
-func (p *plant) elsewhere(domain string) map[string]int {
+func (p *planSim) otherDomainReplicas(domain string) map[string]int {
 	n := map[string]int{}
 	for d, servers := range p.servers {
 		if d != domain {
@@ -95,56 +95,56 @@
 	return n
 }
 
-// ready returns how many servers serve the name.
-func (p *plant) ready(name string) int { return p.elsewhere("")[name] }
+// ready returns the number of servers that have the name ready.
+func (p *planSim) ready(name string) int { return p.otherDomainReplicas("")[name] }
 
-func (p *plant) all(check func(name string)) {
+func (p *planSim) forEachName(check func(name string)) {
 	for _, name := range append(sortedNames(p.conf.Models), sortedNames(p.conf.Adapters)...) {
 		check(name)
 	}
 }
 
-func TestEachGetsOneReplicaThenASecondElsewhere(t *testing.T) {
-	p := newPlant(t, small.config(), 4)
+func TestEachNameGetsOneReplicaThenASecondInAnotherDomain(t *testing.T) {
+	p := newPlanSim(t, small.config(), 4)
 	p.step(time.Second)
-	p.all(func(name string) { require.LessOrEqual(t, p.ready(name), 1, "two domains both placed %s first", name) })
+	p.forEachName(func(name string) { require.LessOrEqual(t, p.ready(name), 1, "two domains both placed %s first", name) })
 	for range 10 {
 		p.step(time.Second)
 	}
-	p.all(func(name string) {
+	p.forEachName(func(name string) {
 		require.Equal(t, 2, p.ready(name), name)
 		for _, d := range p.domains {
-			require.Equal(t, 1, p.elsewhere(d)[name], "%s: one in each domain", name)
+			require.Equal(t, 1, p.otherDomainReplicas(d)[name], "%s: one replica in each domain", name)
 		}
 	})
-	require.Zero(t, p.step(time.Second), "nothing moves without a cause")
+	require.Zero(t, p.step(time.Second), "moves without a cause")
 }
 
-func TestOthersPlaceWhatACutOffHomeDoesNot(t *testing.T) {
-	p := newPlant(t, small.config(), 4)
-	p.cut = "d0"
+func TestOtherDomainsPlaceModelsOfAHomeThatDoesNotPlan(t *testing.T) {
+	p := newPlanSim(t, small.config(), 4)
+	p.idleDomain = "d0"
 	p.step(time.Second)
 	missing := 0
-	p.all(func(name string) { missing += 1 - min(p.ready(name), 1) })
-	require.Positive(t, missing, "they wait first")
+	p.forEachName(func(name string) { missing += 1 - min(p.ready(name), 1) })
+	require.Positive(t, missing, "other domains must give the home time first")
 	for range 4 {
-		p.step(homePatience / 2)
+		p.step(homeTakeoverDelay / 2)
 	}
-	p.all(func(name string) { require.Positive(t, p.ready(name), name) })
+	p.forEachName(func(name string) { require.Positive(t, p.ready(name), name) })
 }
 
-func TestLeavingAndLostServersAreReplaced(t *testing.T) {
-	p := newPlant(t, small.config(), 4)
+func TestReplicasOnLeavingAndUnreachableServersAreReplaced(t *testing.T) {
+	p := newPlanSim(t, small.config(), 4)
 	for range 10 {
 		p.step(time.Second)
 	}
 	p.servers["d0"][0].Leaving = true
 	p.servers["d1"][0].Reachable = false
 	lost := slices.Clone(p.servers["d1"][0].Assigned)
-	require.Zero(t, len(p.planners["d1"].Plan(PlanInput{Now: p.now, Domain: "d1", Config: p.conf, Servers: p.servers["d1"], Elsewhere: p.elsewhere("d1"), Domains: p.domains})),
-		"a short cut costs no load")
+	require.Zero(t, len(p.planners["d1"].Plan(PlanInput{Now: p.now, Domain: "d1", Config: p.conf, Servers: p.servers["d1"], OtherDomainReplicas: p.otherDomainReplicas("d1"), Domains: p.domains})),
+		"a short network failure must not cause loads")
 	for range 10 {
-		p.step(unreachablePatience / 4)
+		p.step(unreachableGrace / 4)
 	}
 	p.servers["d1"][0].Assigned, p.servers["d0"][0].Assigned = nil, nil
 	p.step(time.Second)
@@ -153,9 +153,9 @@
 	}
 }
 
-func TestNewVersionIsReadyBeforeTheOldGoes(t *testing.T) {
-	for _, servers := range []int{4, 3} { // with room beside the old version, and with less
-		p := newPlant(t, small.config(), servers)
+func TestNewVersionIsReadyBeforeTheOldIsDropped(t *testing.T) {
+	for _, servers := range []int{4, 3} { // with and without room beside the old version
+		p := newPlanSim(t, small.config(), servers)
 		for range 40 {
 			p.step(time.Second)
 		}
@@ -168,7 +168,7 @@
 		p.conf = next
 		for range 60 {
 			p.step(time.Second)
-			p.all(func(name string) { require.Positive(t, p.ready(name), "%s with %d servers", name, servers) })
+			p.forEachName(func(name string) { require.Positive(t, p.ready(name), "%s with %d servers", name, servers) })
 		}
 		for _, d := range p.domains {
 			for _, s := range p.servers[d] {
@@ -181,22 +181,22 @@
 	}
 }
 
-func TestStoreLimitsHold(t *testing.T) {
-	p := newPlant(t, small.config(), 4)
+func TestLoadsStayWithinStoreLimits(t *testing.T) {
+	p := newPlanSim(t, small.config(), 4)
 	p.stores = map[string]infra.StoreLimits{"owner": {LoadsPerSecond: 1, ConcurrentLoads: 2}, "guest": {LoadsPerSecond: 1, ConcurrentLoads: 2}}
-	p.down = true
+	p.storeDown = true
 	p.step(time.Second)
 	require.Zero(t, p.loads, "the store is down")
-	p.down = false
+	p.storeDown = false
 	for i := range 10 {
 		p.step(time.Second)
-		require.LessOrEqual(t, p.loads, 2*2*(i+1), "two partners with a load in flight in each domain")
-		require.LessOrEqual(t, float64(p.loads), 2*(float64(i+1)+loadBurst+1))
+		require.LessOrEqual(t, p.loads, 2*2*(i+1), "at most one load in flight per partner and domain")
+		require.LessOrEqual(t, float64(p.loads), 2*(float64(i+1)+loadBurstSeconds+1))
 	}
 }
 
-func TestDemandMovesReplicasAndNoiseDoesNot(t *testing.T) {
-	p := newPlant(t, small.config(), 4)
+func TestDemandAddsReplicasAndNoiseDoesNot(t *testing.T) {
+	p := newPlanSim(t, small.config(), 4)
 	for range 10 {
 		p.step(time.Second)
 	}
@@ -214,16 +214,17 @@
 	p.demand = nil
 	grown := p.ready("m001")
 	for range 600 {
-		require.Zero(t, p.step(time.Second), "what isn't in the way stays")
+		require.Zero(t, p.step(time.Second), "replicas stay until their memory is needed")
 	}
 	require.Equal(t, grown, p.ready("m001"))
 }
 
-// TestAnyChangesKeepMemoryLentPartsAndReach plans through random demand, server
-// loss and version changes, and checks what must always hold.
-func TestAnyChangesKeepMemoryLentPartsAndReach(t *testing.T) {
+// TestRandomChangesKeepMemoryBoundsLentPartsAndAvailability plans through random demand
+// and version changes. It checks that no server's memory and no lent part is exceeded and
+// that every name has a ready replica.
+func TestRandomChangesKeepMemoryBoundsLentPartsAndAvailability(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlant(t, small.config(), 3)
+		p := newPlanSim(t, small.config(), 3)
 		for range 20 {
 			p.step(time.Second)
 		}
@@ -244,7 +245,7 @@
 				p.conf = &next
 			}
 			p.step(time.Duration(rapid.IntRange(1, 200).Draw(t, "seconds")) * time.Second)
-			p.all(func(name string) { require.Positive(t, p.ready(name), name) })
+			p.forEachName(func(name string) { require.Positive(t, p.ready(name), name) })
 			for _, d := range p.domains {
 				borrowed := int64(0)
 				for _, s := range p.servers[d] {
@@ -260,7 +261,7 @@
 	})
 }
 
-func TestHomesFollowCapacityAndStay(t *testing.T) {
+func TestHomesFollowCapacityAndAreStable(t *testing.T) {
 	c := twoYears.config()
 	pool := c.Pools["pool"]
 	pool.FailureDomains = []string{"a", "b", "c"}
@@ -273,21 +274,21 @@
 			moved++
 		}
 	}
-	require.Zero(t, moved, "a lost domain changes no other's homes")
+	require.Zero(t, moved, "the loss of a domain must not change other domains' homes")
 	for d, n := range count {
 		require.InDelta(t, len(c.Models)/3, n, 60, d)
 	}
 }
 
-// BenchmarkPlan plans for a domain at the two-year size: first everything, then
-// with demand.
+// BenchmarkPlan measures one plan for a domain of the two-years size, from an empty state
+// and from a settled state with demand.
 func BenchmarkPlan(b *testing.B) {
 	conf := twoYears.config()
 	for _, kind := range []string{"empty", "settled"} {
 		b.Run(kind, func(b *testing.B) {
 			for b.Loop() {
 				b.StopTimer()
-				p := newPlant(b, conf, 211)
+				p := newPlanSim(b, conf, 211)
 				steps := 0
 				if kind == "settled" {
 					steps = 4
--- a/decide/policy_test.go
+++ b/decide/policy_test.go
@@ -9,16 +9,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The seeds that the constants were tuned on, and those that they weren't.
+// tunedSeeds are the seeds that the constants were tuned on, untunedSeeds others.
 var (
 	tunedSeeds   = []uint64{1, 2}
 	untunedSeeds = []uint64{101, 102}
 )
 
-// BenchmarkPolicy runs the experiment: this policy and the baselines on each
-// scenario and size, tuned and untuned seeds apart.
+// BenchmarkPolicy runs the experiment: this policy, its ablations and the baselines in
+// each scenario and size, separately for tuned and untuned seeds.
 func BenchmarkPolicy(b *testing.B) {
-	for _, z := range []size{flightKitchen, instituto, twoYears} {
+	for _, z := range []deploymentSize{flightKitchen, instituto, twoYears} {
 		for _, sc := range scenarios {
 			for _, p := range append(append([]policy{ownPolicy}, ablations...), baselines...) {
 				for kind, seeds := range map[string][]uint64{"tuned": tunedSeeds, "untuned": untunedSeeds} {
@@ -33,7 +33,7 @@
 	}
 }
 
-func reportPolicy(b *testing.B, z size, sc scenario, p policy, seeds []uint64) {
+func reportPolicy(b *testing.B, z deploymentSize, sc scenario, p policy, seeds []uint64) {
 	length := time.Hour
 	if z.models > 100 {
 		length = 5 * time.Minute
@@ -43,40 +43,40 @@
 	owner, guest := 0.0, 0.0
 	for _, seed := range seeds {
 		r := simulate(z, sc, p, seed, length)
-		sum.asked += r.asked
+		sum.requests += r.requests
 		sum.met += r.met
 		sum.refused += r.refused
 		sum.moves += r.moves
 		sum.accelerators = r.accelerators
 		wait = max(wait, p99(r.waits))
 		refusal = max(refusal, p99(r.refusals))
-		owner += r.of("owner") / float64(len(seeds))
-		guest += r.of("guest") / float64(len(seeds))
+		owner += r.partnerAttainment("owner") / float64(len(seeds))
+		guest += r.partnerAttainment("guest") / float64(len(seeds))
 	}
 	b.ReportMetric(100*sum.attainment(), "%met")
 	b.ReportMetric(100*sum.attainment()/float64(sum.accelerators), "%met/accelerator")
 	b.ReportMetric(float64(sum.moves)/float64(len(seeds)), "moves")
 	b.ReportMetric(wait, "p99-wait-s")
 	b.ReportMetric(refusal, "p99-refusal-s")
-	b.ReportMetric(100*float64(sum.refused)/float64(sum.asked), "%refused")
+	b.ReportMetric(100*float64(sum.refused)/float64(sum.requests), "%refused")
 	b.ReportMetric(100*owner, "%owner")
 	b.ReportMetric(100*guest, "%guest")
 }
 
-// bound is a regression bound on a deterministic figure.
-type bound struct {
+// regressionBound is a lower bound on the attainment in a scenario, which is deterministic.
+type regressionBound struct {
 	scenario string
-	ratio    float64 // least attainment against the best baseline's
+	ratio    float64 // least attainment, relative to the best baseline's
 }
 
-var bounds = []bound{
+var regressionBounds = []regressionBound{
 	{"steady", 0.99},
 	{"saturation", 1.3},
 	{"skew", 1},
 }
 
 func TestPolicyAgainstBaselines(t *testing.T) {
-	for _, b := range bounds {
+	for _, b := range regressionBounds {
 		t.Run(b.scenario, func(t *testing.T) {
 			sc := scenarios[slices.IndexFunc(scenarios, func(s scenario) bool { return s.name == b.scenario })]
 			own := simulate(small, sc, ownPolicy, untunedSeeds[0], 5*time.Minute)
@@ -90,9 +90,9 @@
 	}
 }
 
-// A slot frees after a waiting request's time is up, and before the tick that
-// refuses it. How long the target takes isn't known yet.
-func TestARequestWhoseTimeIsUpIsNotDispatchedWhenASlotFrees(t *testing.T) {
+// A slot becomes free after a queued request's deadline has passed, before the tick that
+// refuses the request. The target's service time isn't known yet.
+func TestExpiredRequestIsNotDispatchedWhenASlotFrees(t *testing.T) {
 	s := testScheduler(testTable(1, 1, 1, "am"))
 	require.Equal(t, ActionDispatch, s.Arrive(simStart, ask("first", "am", time.Minute))[0].Action)
 	for n := 0; s.Queued() == 0; n++ { // the server's own short queue fills first
--- a/decide/pump.go
+++ b/decide/pump.go
@@ -14,7 +14,7 @@
 	if srv.rateLimit.Named {
 		s.fill = rationed
 	}
-	for s.queued > 0 && srv.room(now, srv.Slots+srv.queueFor(under, mostGoal)) {
+	for s.queued > 0 && srv.room(now, srv.Slots+srv.queueFor(underShare, mostGoal)) {
 		f, c := s.nextFor(now, srv)
 		if f == nil {
 			return
@@ -30,7 +30,7 @@
 	var best *flight
 	var at candidate
 	c := newCandidate(now, srv)
-	for _, r := range srv.residents {
+	for _, r := range srv.servedTargets {
 		t := r.target
 		if t.queue.len() == 0 || best != nil && !s.goesFirst(srv.pool, t, best) {
 			continue
@@ -49,11 +49,11 @@
 
 // goesFirst says whether a request of the target could go before f.
 func (s *Scheduler) goesFirst(p *poolState, t *targetState, f *flight) bool {
-	return t.partner == f.target.partner || p.share(t.partner) <= p.share(f.target.partner)
+	return t.partner == f.target.partner || p.weightedShare(t.partner) <= p.weightedShare(f.target.partner)
 }
 
 func (s *Scheduler) before(p *poolState, a, b *flight) bool {
-	if x, y := p.share(a.target.partner), p.share(b.target.partner); x != y {
+	if x, y := p.weightedShare(a.target.partner), p.weightedShare(b.target.partner); x != y {
 		return x < y
 	}
 	return a.order < b.order
@@ -62,20 +62,20 @@
 // pumpAll refuses what can no longer make its deadline and tries a slot for the
 // first of each queue, for as long as that succeeds.
 func (s *Scheduler) pumpAll(now time.Time) {
-	n := len(s.fleet.ordered)
+	n := len(s.fleet.sortedTargets)
 	if n == 0 {
 		return
 	}
 	s.turn++
 	for i := range n {
-		if t := s.fleet.ordered[(s.turn+i)%n]; t.queue.len() > 0 {
+		if t := s.fleet.sortedTargets[(s.turn+i)%n]; t.queue.len() > 0 {
 			s.expire(now, t)
 		}
 	}
 	for progress := true; progress && s.queued > 0; {
 		progress = false
 		for i := range n {
-			if t := s.fleet.ordered[(s.turn+i)%n]; t.queue.len() > 0 && s.startOne(now, t) {
+			if t := s.fleet.sortedTargets[(s.turn+i)%n]; t.queue.len() > 0 && s.startOne(now, t) {
 				progress = true
 			}
 		}
--- a/decide/quota.go
+++ b/decide/quota.go
@@ -7,37 +7,41 @@
 )
 
 const (
-	// mostInterval bounds the time between two load reports for which a quota is
-	// drawn in advance: after a longer silence nothing is known of what frees.
-	mostInterval = time.Second
-	// quotaFor is how long a quota holds without another report: after it each
-	// instance goes by what it knows itself, as where no lease holder is known.
-	quotaFor = 1500 * time.Millisecond
-	// Horizon is the time for whose arrivals a server's slots are shared out,
-	// together with what waits: as long as a report takes to bring what others sent.
-	Horizon = 500 * time.Millisecond
-	// leastHeld bounds, in seconds, how short a request is taken to hold its slot.
-	leastHeld = 0.001
-	// arrivalsMemory is how long an arrival counts toward a target's rate.
-	arrivalsMemory = 2 * time.Second
+	// maxQuotaInterval bounds the interval between load reports for which a quota is
+	// drawn in advance. How many slots free over a longer time can't be predicted.
+	maxQuotaInterval = time.Second
+	// quotaTTL is how long a quota is valid without a new report. After that each
+	// instance relies on its own knowledge, as it does without a lease holder.
+	quotaTTL = 1500 * time.Millisecond
+	// ArrivalHorizon is the time ahead for which expected arrivals, besides queued
+	// requests, take part in sharing out a server's slots. It is about as long as a
+	// report takes to show what other instances sent.
+	ArrivalHorizon = 500 * time.Millisecond
+	// minHoldTime is the shortest time, in seconds, for which a request is assumed to
+	// hold its slot.
+	minHoldTime = 0.001
+	// arrivalTimeConstant is the time in which an arrival's weight in the arrival rate
+	// decays to 1/e.
+	arrivalTimeConstant = 2 * time.Second
 )
 
-// quota is an instance's part of the slots of a server that more requests want,
-// over all instances, than it has. It is for many instances with queues before few
-// replicas: each that sent one request as a report showed room, or as a replica
-// came, together sent a server of 12 slots two hundred, which it refused.
+// quota is an instance's part of the slots of a server for which the requests of all
+// instances contend. It is for many instances that queue requests for few replicas:
+// without it, instances that each sent one request when a report showed a free slot, or
+// when a replica became ready, together sent 200 requests to a server of 12 slots, which
+// refused them.
 type quota struct {
-	instances  int       // that there are; quotas are for servers with fewer slots
-	contending float64   // requests of all instances that want what the server serves
-	residents  int       // targets that it served when the quota was last drawn
-	limited    bool      // they want more than it has until the next report
-	left       int       // where limited: requests that this instance may send it until then
-	at         time.Time // of the last report
-	interval   time.Duration
+	instances      int       // number of instances; only servers with fewer slots have quotas
+	contending     float64   // requests of all instances for the server's targets
+	servedTargets  int       // number of the server's targets when the quota was last drawn
+	limited        bool      // contending requests exceed the slots available until the next report
+	remaining      int       // if limited: requests that this instance may still send until then
+	lastReportAt   time.Time // when the last load report arrived
+	reportInterval time.Duration
 }
 
-// contenders returns how many requests contend for the server's slots, 0 where
-// there is no quota.
+// contenders returns how many requests contend for the server's slots, or 0 if there
+// is no quota.
 func (q *quota) contenders() int {
 	if !q.limited {
 		return 0
@@ -45,51 +49,52 @@
 	return int(q.contending)
 }
 
-// drawQuota draws the instance's part of the slots that the server has until the
-// next report: those free now and those that will free. Each instance gets its part
-// in proportion to its own requests of all that want them. That is mostly less than
-// one, so it is drawn at random: together the instances send as many as there is
-// room for.
+// drawQuota draws the instance's part of the slots that the server has until the next
+// report: those free now and those expected to become free. The part is proportional to
+// the instance's fraction of all contending requests. Since it is mostly less than one,
+// it is rounded at random, so that all instances together send as many requests as there
+// are slots.
 func (s *serverState) drawQuota(now time.Time, rng *rand.Rand) {
 	q := &s.quota
-	q.residents = len(s.residents)
-	q.limited = !s.rateLimit.Named && q.contending > 0 && q.instances > s.Slots && !s.fast() // what waits for a fast one is gone by the next report
+	q.servedTargets = len(s.servedTargets)
+	q.limited = !s.rateLimit.Named && q.contending > 0 && q.instances > s.Slots && !s.fast() // requests for a fast server no longer wait at the next report
 	if !q.limited {
 		return
 	}
-	own := s.wanted(now)
-	slots := max(float64(s.Slots)-s.load(now)+s.frees(q.interval), 0)
+	own := s.demand(now)
+	slots := max(float64(s.Slots)-s.load(now)+s.expectedReleases(q.reportInterval), 0)
 	if max(q.contending, own) <= slots {
 		q.limited = false
 		return
 	}
-	q.left = int(math.Floor(slots*own/q.contending + rng.Float64()))
+	q.remaining = int(math.Floor(slots*own/q.contending + rng.Float64()))
 }
 
-// wanted returns how many of this instance's requests want what the server serves
-// within Horizon, each counted in equal parts at all that serve it.
-func (s *serverState) wanted(now time.Time) float64 {
-	return s.share(func(t *targetState) float64 { return t.wanted(now) })
+// demand returns the number of this instance's requests for the server's targets, queued
+// or expected within ArrivalHorizon, each divided equally among the target's replicas.
+func (s *serverState) demand(now time.Time) float64 {
+	return s.sumOverTargets(func(t *targetState) float64 { return t.demand(now) })
 }
 
-// share adds up what count returns of each target that the server serves, in equal
-// parts at all that serve it.
-func (s *serverState) share(count func(*targetState) float64) float64 {
+// sumOverTargets adds up count over the server's targets, each divided by the number of
+// the target's replicas.
+func (s *serverState) sumOverTargets(count func(*targetState) float64) float64 {
 	sum := 0.0
-	for _, r := range s.residents {
+	for _, r := range s.servedTargets {
 		sum += count(r.target) / float64(len(r.target.replicas))
 	}
 	return sum
 }
 
-// wanted returns how many requests for the target wait, or will come within Horizon.
-func (t *targetState) wanted(now time.Time) float64 {
-	return float64(t.queue.len()) + t.arrivals.rate(now)*Horizon.Seconds()
+// demand returns the number of requests for the target that are queued or expected
+// within ArrivalHorizon.
+func (t *targetState) demand(now time.Time) float64 {
+	return float64(t.queue.len()) + t.arrivalRate.rate(now)*ArrivalHorizon.Seconds()
 }
 
-// Spread divides what is wanted of targets, in equal parts, among the servers that
-// serve them.
-func (s *Scheduler) Spread(wanted map[string]float64) map[string]float64 {
+// SpreadOverServers divides the wanted requests, by target name, equally among the
+// servers that have the target ready. It returns them by server ID.
+func (s *Scheduler) SpreadOverServers(wanted map[string]float64) map[string]float64 {
 	out := map[string]float64{}
 	for name, n := range wanted {
 		t := s.fleet.targets[name]
@@ -103,37 +108,37 @@
 	return out
 }
 
-// arrivals follows the rate at which requests arrive.
-type arrivals struct {
-	count float64 // those of arrivalsMemory ago weigh 1/e
-	at    time.Time
+// arrivalRate is an exponentially decaying estimate of the rate of arrivals.
+type arrivalRate struct {
+	count     float64 // arrivals weighted by age; one arrivalTimeConstant ago weighs 1/e
+	countedAt time.Time
 }
 
-func (a *arrivals) add(now time.Time) {
-	a.count, a.at = a.decayed(now)+1, now
+func (a *arrivalRate) add(now time.Time) {
+	a.count, a.countedAt = a.decayed(now)+1, now
 }
 
-func (a *arrivals) decayed(now time.Time) float64 {
-	return a.count * math.Exp(-now.Sub(a.at).Seconds()/arrivalsMemory.Seconds())
+func (a *arrivalRate) decayed(now time.Time) float64 {
+	return a.count * math.Exp(-now.Sub(a.countedAt).Seconds()/arrivalTimeConstant.Seconds())
 }
 
-// rate returns arrivals a second.
-func (a *arrivals) rate(now time.Time) float64 {
-	return a.decayed(now) / arrivalsMemory.Seconds()
+// rate returns the arrivals per second.
+func (a *arrivalRate) rate(now time.Time) float64 {
+	return a.decayed(now) / arrivalTimeConstant.Seconds()
 }
 
-// frees estimates how often a slot of a full server frees within a time.
-func (s *serverState) frees(within time.Duration) float64 {
-	return float64(s.Slots) * within.Seconds() / max(s.pool.holdTime(), leastHeld)
+// expectedReleases estimates how many slots of a full server are released within a time.
+func (s *serverState) expectedReleases(within time.Duration) float64 {
+	return float64(s.Slots) * within.Seconds() / max(s.pool.holdTime(), minHoldTime)
 }
 
-// contended takes in how many requests of all instances want what the server
-// serves, and draws the instance's quota anew.
-func (s *serverState) contended(now time.Time, wanting int, rng *rand.Rand) {
+// updateQuota draws a new quota, given the number of requests of all instances that
+// want the server's targets.
+func (s *serverState) updateQuota(now time.Time, wanting int, rng *rand.Rand) {
 	q := &s.quota
-	if !q.at.IsZero() {
-		q.interval = min(now.Sub(q.at), mostInterval)
+	if !q.lastReportAt.IsZero() {
+		q.reportInterval = min(now.Sub(q.lastReportAt), maxQuotaInterval)
 	}
-	q.at, q.contending = now, float64(wanting)
+	q.lastReportAt, q.contending = now, float64(wanting)
 	s.drawQuota(now, rng)
 }
--- a/decide/quota_test.go
+++ b/decide/quota_test.go
@@ -11,8 +11,8 @@
 	"greengageferry/infra"
 )
 
-// manyTable is one server before more instances than it has slots.
-func manyTable(slots, instances int) *Table {
+// sharedServerTable returns a table with one server that several instances share.
+func sharedServerTable(slots, instances int) *Table {
 	return &Table{
 		OwnDomain: "d", Servers: []Server{{ID: "s", Pool: "p", FailureDomain: "d", Slots: slots}},
 		Targets: map[string]*Target{"m": {Name: "m", Pool: "p", Model: "m", Replicas: []Replica{{Server: 0}}}},
@@ -20,10 +20,11 @@
 	}
 }
 
-// many is a scheduler before that server, whose requests hold a slot that long.
-func many(slots, instances int, held time.Duration) *Scheduler {
+// sharedServerScheduler returns a scheduler with that table, whose requests hold a slot
+// for the given time.
+func sharedServerScheduler(slots, instances int, held time.Duration) *Scheduler {
 	s := NewScheduler(rand.New(rand.NewPCG(1, 1)))
-	s.SetTable(simStart, manyTable(slots, instances))
+	s.SetTable(simStart, sharedServerTable(slots, instances))
 	for range 10 {
 		s.fleet.servers["s"].pool.held.add(held.Seconds())
 	}
@@ -31,7 +32,8 @@
 	return s
 }
 
-func (s *Scheduler) send(now time.Time, n int) (dispatched int) {
+// arriveMany lets n requests arrive and returns how many were dispatched.
+func (s *Scheduler) arriveMany(now time.Time, n int) (dispatched int) {
 	for i := range n {
 		for _, d := range s.Arrive(now, Request{ID: fmt.Sprint(now.UnixNano(), i), Target: "m", Arrived: now, Deadline: now.Add(10 * time.Second)}) {
 			if d.Action == ActionDispatch {
@@ -42,29 +44,29 @@
 	return dispatched
 }
 
-// A plain service's slots free many times between two reports. Taken to free once
-// at most, the quotas were so small that 16,700 of 20,400 requests were refused
-// before servers of which half the slots were free.
+// A plain service's slots become free many times between two reports. When quotas assumed
+// at most one time, they were so small that 16,700 of 20,400 requests were refused while
+// half of the servers' slots were free.
 func TestShortRequestsHaveNoQuota(t *testing.T) {
-	s := many(6, 295, 60*time.Millisecond)
+	s := sharedServerScheduler(6, 295, 60*time.Millisecond)
 	s.Reported(simStart, "s", infra.Load{Running: 3, Contending: 25}, 0)
 	require.False(t, s.fleet.servers["s"].quota.limited)
-	require.Equal(t, 1, s.send(simStart, 1))
+	require.Equal(t, 1, s.arriveMany(simStart, 1))
 	s.Reported(simStart, "s", infra.Load{Running: 3, Contending: 100}, 0)
-	require.False(t, s.fleet.servers["s"].quota.limited, "what was held back would only wait for the next report")
+	require.False(t, s.fleet.servers["s"].quota.limited, "a quota would only hold requests back until the next report")
 }
 
-// Before an instance has had enough requests to know how long they hold a slot, a
-// plain service's servers must not be taken for slow: the queue that this made at
-// all instances never went away.
-func TestAPlainServiceIsTakenToBeFastUntilItIsKnown(t *testing.T) {
+// While an instance has too few requests to know how long they hold a slot, a plain
+// service's servers must count as fast. When they counted as slow, the queue that built
+// up at all instances never drained.
+func TestPlainServiceCountsAsFastUntilMeasured(t *testing.T) {
 	s := NewScheduler(rand.New(rand.NewPCG(1, 1)))
-	table := manyTable(6, 295)
+	table := sharedServerTable(6, 295)
 	table.Targets["m"].Service, table.Targets["m"].Model = true, ""
 	s.SetTable(simStart, table)
 	s.Reported(simStart.Add(-500*time.Millisecond), "s", infra.Load{}, 0)
 	s.Reported(simStart, "s", infra.Load{Running: 7, Contending: 100}, 0)
-	require.Equal(t, 1, s.send(simStart, 1))
+	require.Equal(t, 1, s.arriveMany(simStart, 1))
 	for range fastSamples {
 		s.fleet.servers["s"].pool.held.add(2)
 	}
@@ -72,37 +74,38 @@
 	require.True(t, s.fleet.servers["s"].quota.limited)
 }
 
-func TestAQuotaHoldsUntilReportsStayAway(t *testing.T) {
-	s := many(12, 295, time.Second)
+func TestQuotaExpiresWithoutReports(t *testing.T) {
+	s := sharedServerScheduler(12, 295, time.Second)
 	s.Reported(simStart, "s", infra.Load{Running: 12, Contending: 300}, 0)
-	d := &s.fleet.servers["s"].quota
-	require.True(t, d.limited)
-	d.left = 2
-	require.Equal(t, 2, s.send(simStart, 5))
-	later := simStart.Add(quotaFor)
+	q := &s.fleet.servers["s"].quota
+	require.True(t, q.limited)
+	q.remaining = 2
+	require.Equal(t, 2, s.arriveMany(simStart, 5))
+	later := simStart.Add(quotaTTL)
 	s.fleet.servers["s"].report = infra.Load{}
 	s.fleet.servers["s"].window = 9
-	require.Positive(t, len(s.Tick(later)), "nobody reports any more")
+	require.Positive(t, len(s.Tick(later)), "the quota must expire without reports")
 }
 
 func TestFewInstancesHaveNoQuota(t *testing.T) {
-	s := many(12, 12, time.Second)
+	s := sharedServerScheduler(12, 12, time.Second)
 	s.Reported(simStart, "s", infra.Load{Running: 3, Contending: 300}, 0)
 	require.False(t, s.fleet.servers["s"].quota.limited)
-	require.Positive(t, s.send(simStart, 1))
+	require.Positive(t, s.arriveMany(simStart, 1))
 }
 
-// Reports of a plain service's servers say little of what they have by now.
-func TestServersWhoseSlotsFreeFastTakeRequestsThoughTheyWereReportedFull(t *testing.T) {
+// A plain service's servers process requests so fast that a load report says little about
+// their current load.
+func TestFastServersTakeRequestsWhenReportedFull(t *testing.T) {
 	full := infra.Load{Running: 6, Contending: 25}
 	request := Request{ID: "r", Target: "m", Arrived: simStart, Deadline: simStart.Add(4 * time.Second), Goal: 300 * time.Millisecond}
-	fast := many(6, 295, 60*time.Millisecond)
+	fast := sharedServerScheduler(6, 295, 60*time.Millisecond)
 	fast.Reported(simStart, "s", full, 0)
 	require.Equal(t, ActionDispatch, fast.Arrive(simStart, request)[0].Action)
 	fast.Reported(simStart, "s", infra.Load{Running: 6 + 8, Contending: 25}, 0)
 	request.ID = "r2"
-	require.Equal(t, ActionQueue, fast.Arrive(simStart, request)[0].Action, "it would wait for over a quarter of its goal")
-	slow := many(6, 2, time.Second)
+	require.Equal(t, ActionQueue, fast.Arrive(simStart, request)[0].Action, "the request would wait for more than a quarter of its goal")
+	slow := sharedServerScheduler(6, 2, time.Second)
 	slow.Reported(simStart, "s", full, 0)
 	require.Equal(t, ActionQueue, slow.Arrive(simStart, request)[0].Action)
 }
--- a/decide/ratelimit.go
+++ b/decide/ratelimit.go
@@ -7,181 +7,181 @@
 )
 
 const (
-	// GrantFor is how long a granted request may be sent, counted from the word that
-	// asked for it. Unsent ones lapse: an instance that saved them up could send
-	// them all at once, beside what others were granted meanwhile.
-	GrantFor = time.Second
-	// sharedFor is how long after the lease holder's last word an instance waits for
-	// it to share out a rate limit; then it goes by its own share.
-	sharedFor = 1500 * time.Millisecond
-	// MostInstances is how many instances there are taken to be, where all share one
-	// bound, until the lease holder has said so: as many as the system is designed for.
-	MostInstances = 370
-	// liftedKept is how long an instance repeats that a server names no limit any more.
-	liftedKept = 30 * time.Second
+	// GrantTTL is how long a granted request may be sent, counted from the time at
+	// which the instance asked for it. Unused grants expire: an instance that saved
+	// them up could send them all at once, on top of newer grants to others.
+	GrantTTL = time.Second
+	// sharesTTL is how long an instance relies on the lease holder to share out rate
+	// limits without hearing from it. After that it uses a share of its own.
+	sharesTTL = 1500 * time.Millisecond
+	// MaxInstances is the number of instances that is assumed for a bound shared by
+	// all, until the lease holder has reported it: the system's design limit.
+	MaxInstances = 370
+	// liftReportTTL is how long an instance keeps reporting that a server no longer
+	// names a limit.
+	liftReportTTL = 30 * time.Second
 )
 
-// RateSaid is what an instance says of a server's rate limit to the lease holder.
-type RateSaid struct {
+// RateReport is an instance's report on a server's rate limit to the lease holder.
+type RateReport struct {
 	Server string
-	Start  string // of the server, as Server.Start
+	Start  string // see Server.Start
 	Limit  RateLimit
-	Age    time.Duration // since an answer showed it
-	Heard  bool          // an answer to this instance showed it; false: it was told
-	// Waiting is how many requests wait here that could go there, and Expects how
-	// many more will come within GrantFor, each in equal parts at all servers that
-	// it could go to.
+	Age    time.Duration // since an answer showed the limit
+	Heard  bool          // an answer to this instance showed the limit; false: the lease holder reported it
+	// Waiting is the number of requests queued here that could go to the server, and
+	// Expects how many more are expected within GrantTTL. Each request is
+	// divided equally among all servers that it could go to.
 	Waiting int
 	Expects float64
-	Lapsed  int // granted requests that weren't sent in time, since this was last said
+	Lapsed  int // granted requests that weren't sent in time, since the previous report
 }
 
-// RateShare is what the lease holder tells an instance of a server's rate limit.
+// RateShare is an instance's share of a server's rate limit, from the lease holder.
 type RateShare struct {
 	Server  string
 	Start   string
 	Limit   RateLimit
-	Age     time.Duration // since an answer to any instance showed it
+	Age     time.Duration // since an answer to any instance showed the limit
 	Granted int           // requests that this instance may send
 }
 
-// RateShares is all that the lease holder tells of rate limits.
+// RateShares is everything that the lease holder tells an instance about rate limits.
 type RateShares struct {
 	Shares    []RateShare
-	Position  int // of this instance among all, from 0
-	Instances int // that there are
+	Position  int // this instance's index among all instances
+	Instances int // number of instances
 }
 
-// LimitChange is a server's rate limit that differs from what was known.
+// LimitChange is a change of a server's known rate limit.
 type LimitChange struct {
 	Server      string
 	Before, Now RateLimit
-	Since       time.Time // when the limit was first known
+	Since       time.Time // when the server first named a limit, as far as known
 }
 
-// limitState is what an instance knows of the rate limit that a server names. A
-// limit is for all instances together: the lease holder shares it out among those
-// whose requests wait. While none is heard, each instance has a turn now and then;
-// by its position the turns of all follow each other evenly.
+// limitState is an instance's state of the rate limit that a server names. A limit
+// applies to all instances together. The lease holder shares it out among the instances
+// with waiting requests. Without a lease holder each instance sends in periodic turns;
+// the offset by its position spreads the turns of all instances evenly.
 type limitState struct {
 	RateLimit
-	shown time.Time // when an answer, to whichever instance, last showed it
-	heard bool      // that answer was to this instance
-	since time.Time // when it was first known
+	observedAt   time.Time // when an answer to any instance last showed the limit
+	observedHere bool      // that answer went to this instance
+	namedSince   time.Time // when the server first named a limit, as far as known
 
-	granted []grant // by the lease holder, those that lapse first in front
-	lapsed  int     // of them, that were not sent in time and not yet said so
+	grants  []grant // from the lease holder, those that expire first in front
+	expired int     // granted requests that weren't sent in time and aren't reported yet
 
-	turnsFrom time.Time     // no turn before it
-	turnEvery time.Duration // 0: never
-	sentAt    time.Time     // the last request
+	turnsStart   time.Time     // start of the first turn
+	turnInterval time.Duration // 0: no turns
+	lastSentAt   time.Time     // when the last request was sent
 }
 
-// set takes in a limit that an answer showed, and returns what that changed.
-func (l *limitState) set(now time.Time, server string, limit RateLimit, shown time.Time, heard bool) LimitChange {
+// update sets a limit that an answer showed, and returns the change.
+func (l *limitState) update(now time.Time, server string, limit RateLimit, observedAt time.Time, observedHere bool) LimitChange {
 	if limit.Named && !l.Named {
-		l.since = now
+		l.namedSince = now
 	}
-	change := LimitChange{Server: server, Before: l.RateLimit, Now: limit, Since: l.since}
-	l.RateLimit, l.shown, l.heard = limit, shown, heard
+	change := LimitChange{Server: server, Before: l.RateLimit, Now: limit, Since: l.namedSince}
+	l.RateLimit, l.observedAt, l.observedHere = limit, observedAt, observedHere
 	return change
 }
 
-// grant is requests that the lease holder lets an instance send until a time.
+// grant is a number of requests that the instance may send until the grant expires.
 type grant struct {
 	requests int
-	to       time.Time
+	expires  time.Time
 }
 
-// rationing is what an instance knows of how limits are shared out.
+// rationing is an instance's state of how rate limits are shared out.
 type rationing struct {
-	toldAt    time.Time // by the lease holder
-	position  float64   // of this instance among all, as a part of them
-	instances int       // 0: not told
+	updatedAt time.Time // send time of the last report that the lease holder answered
+	position  float64   // this instance's position among all, from 0 to 1
+	instances int       // 0: unknown
 }
 
-// shared says whether the lease holder shares limits out.
-func (r *rationing) shared(now time.Time) bool {
-	return !r.toldAt.IsZero() && now.Sub(r.toldAt) < sharedFor
+// active reports whether the lease holder shares limits out.
+func (r *rationing) active(now time.Time) bool {
+	return !r.updatedAt.IsZero() && now.Sub(r.updatedAt) < sharesTTL
 }
 
-func (r *rationing) count() float64 {
+func (r *rationing) instanceCount() float64 {
 	if r.instances <= 0 {
-		return MostInstances
+		return MaxInstances
 	}
 	return float64(r.instances)
 }
 
-// Answered takes in what an answer says of its server's rate limit, to a request
-// that was sent at a time. It returns what that changed, if anything.
-func (s *Scheduler) Answered(now time.Time, server string, sent time.Time, limit RateLimit, complete bool) (LimitChange, bool) {
+// ObserveRateLimit records the rate limit in an answer of the server to a request that
+// was sent at sent. It returns the change and whether there was one.
+func (s *Scheduler) ObserveRateLimit(now time.Time, server string, sent time.Time, limit RateLimit, complete bool) (LimitChange, bool) {
 	srv := s.fleet.servers[server]
 	if srv == nil {
 		return LimitChange{}, false
 	}
 	l := &srv.rateLimit
-	// An answer without a limit may have been made before the server named one,
-	// and a refusal names none.
-	if !limit.Named && (!l.Named || !complete || !sent.After(l.shown)) {
+	// An answer without a limit may predate the server's limit, and refusals name none.
+	if !limit.Named && (!l.Named || !complete || !sent.After(l.observedAt)) {
 		return LimitChange{}, false
 	}
-	change := l.set(now, server, limit, now, true)
+	change := l.update(now, server, limit, now, true)
 	s.schedule(l)
 	if change.Now == change.Before {
 		return change, false
 	}
-	s.limited = s.RateLimited() > 0
+	s.limited = s.RateLimitedServers() > 0
 	return change, true
 }
 
-// RatesTold takes in what the lease holder told of rate limits, in answer to a word
-// that was sent at a time. It returns what that changed.
-func (s *Scheduler) RatesTold(now, sent time.Time, told RateShares) (changes []LimitChange, out []Decision) {
+// ApplyRateShares records the lease holder's rate shares, which answer a report that was
+// sent at sent. It returns the changed limits and the decisions that follow.
+func (s *Scheduler) ApplyRateShares(now, sent time.Time, shares RateShares) (changes []LimitChange, out []Decision) {
 	s.out = s.out[:0]
 	r := &s.rationing
-	r.toldAt, r.instances = sent, told.Instances
-	r.position = (float64(told.Position) + 0.5) / r.count()
-	for _, share := range told.Shares {
+	r.updatedAt, r.instances = sent, shares.Instances
+	r.position = (float64(shares.Position) + 0.5) / r.instanceCount()
+	for _, share := range shares.Shares {
 		srv := s.fleet.servers[share.Server]
 		if srv == nil || srv.Start != share.Start {
 			continue
 		}
 		l := &srv.rateLimit
-		if shown := sent.Add(-share.Age); l.RateLimit != share.Limit && shown.After(l.shown) {
-			changes = append(changes, l.set(now, share.Server, share.Limit, shown, false))
+		if observedAt := sent.Add(-share.Age); l.RateLimit != share.Limit && observedAt.After(l.observedAt) {
+			changes = append(changes, l.update(now, share.Server, share.Limit, observedAt, false))
 		}
 		if share.Granted > 0 {
-			l.granted = append(l.granted, grant{share.Granted, sent.Add(GrantFor)})
+			l.grants = append(l.grants, grant{share.Granted, sent.Add(GrantTTL)})
 		}
 		s.schedule(l)
 		s.pumpServer(now, srv)
 	}
-	s.limited = s.RateLimited() > 0
+	s.limited = s.RateLimitedServers() > 0
 	return changes, s.out
 }
 
-// Rates returns what this instance has to say of rate limits.
-func (s *Scheduler) Rates(now time.Time) []RateSaid {
-	var out []RateSaid
+// RateReports returns this instance's reports for the lease holder.
+func (s *Scheduler) RateReports(now time.Time) []RateReport {
+	var out []RateReport
 	for id, srv := range s.fleet.servers {
 		l := &srv.rateLimit
-		if !srv.listed || !l.Named && (!l.heard || now.Sub(l.shown) > liftedKept) {
+		if !srv.listed || !l.Named && (!l.observedHere || now.Sub(l.observedAt) > liftReportTTL) {
 			continue
 		}
-		said := RateSaid{Server: id, Start: srv.Start, Limit: l.RateLimit, Age: now.Sub(l.shown), Heard: l.heard}
-		if l.Named && srv.takes(now) {
-			said.Waiting = max(int(math.Ceil(srv.waiting()))-l.grants(now), 0)
-			said.Expects = srv.expects(now)
+		report := RateReport{Server: id, Start: srv.Start, Limit: l.RateLimit, Age: now.Sub(l.observedAt), Heard: l.observedHere}
+		if l.Named && srv.acceptsIgnoringLimit(now) {
+			report.Waiting = max(int(math.Ceil(srv.waitingRequests()))-l.activeGrants(now), 0)
+			report.Expects = srv.expectedArrivals(now)
 		}
-		l.grants(now)
-		said.Lapsed, l.lapsed = l.lapsed, 0
-		out = append(out, said)
+		l.activeGrants(now)
+		report.Lapsed, l.expired = l.expired, 0
+		out = append(out, report)
 	}
 	return out
 }
 
-// RateLimited returns how many servers name a rate limit.
-func (s *Scheduler) RateLimited() int {
+// RateLimitedServers returns the number of listed servers that name a rate limit.
+func (s *Scheduler) RateLimitedServers() int {
 	n := 0
 	for _, srv := range s.fleet.servers {
 		if srv.listed && srv.rateLimit.Named {
@@ -191,40 +191,42 @@
 	return n
 }
 
-// Paused returns how many listed servers asked for a pause that has not ended.
-func (s *Scheduler) Paused(now time.Time) int {
+// PausedServers returns the number of listed servers whose requested pause has not ended.
+func (s *Scheduler) PausedServers(now time.Time) int {
 	n := 0
 	for _, srv := range s.fleet.servers {
-		if srv.listed && now.Before(srv.pausedTo) {
+		if srv.listed && now.Before(srv.pausedUntil) {
 			n++
 		}
 	}
 	return n
 }
 
-// takes says whether the server would get a request of this instance now, if its
-// rate limit let it.
-func (s *serverState) takes(now time.Time) bool {
+// acceptsIgnoringLimit reports whether the server could get a request from this instance
+// now, apart from its rate limit.
+func (s *serverState) acceptsIgnoringLimit(now time.Time) bool {
 	return !s.Leaving && s.available(now) && s.room(now, s.Slots)
 }
 
-// waiting returns how many requests wait that could go to the server, and expects how
-// many more will come within GrantFor.
-func (s *serverState) waiting() float64 {
-	return s.share(func(t *targetState) float64 { return float64(t.queue.len()) })
+// waitingRequests returns the number of queued requests that could go to the server,
+// each divided equally among the servers of its target.
+func (s *serverState) waitingRequests() float64 {
+	return s.sumOverTargets(func(t *targetState) float64 { return float64(t.queue.len()) })
 }
 
-func (s *serverState) expects(now time.Time) float64 {
-	return s.share(func(t *targetState) float64 { return t.arrivals.rate(now) * GrantFor.Seconds() })
+// expectedArrivals returns the number of requests that could go to the server and are
+// expected within GrantTTL, divided in the same way.
+func (s *serverState) expectedArrivals(now time.Time) float64 {
+	return s.sumOverTargets(func(t *targetState) float64 { return t.arrivalRate.rate(now) * GrantTTL.Seconds() })
 }
 
-// grants returns how many granted requests may be sent now, and drops those that have
-// lapsed.
-func (l *limitState) grants(now time.Time) int {
+// activeGrants returns how many granted requests may be sent now, and removes expired
+// grants.
+func (l *limitState) activeGrants(now time.Time) int {
 	n := 0
-	l.granted = slices.DeleteFunc(l.granted, func(g grant) bool {
-		if !now.Before(g.to) {
-			l.lapsed += g.requests
+	l.grants = slices.DeleteFunc(l.grants, func(g grant) bool {
+		if !now.Before(g.expires) {
+			l.expired += g.requests
 			return true
 		}
 		n += g.requests
@@ -233,38 +235,39 @@
 	return n
 }
 
-// allows says whether the instance may send the server a request now.
+// allows reports whether the instance may send the server a request now.
 func (l *limitState) allows(now time.Time, r *rationing) bool {
-	if !l.Named || l.grants(now) > 0 {
+	if !l.Named || l.activeGrants(now) > 0 {
 		return true
 	}
-	return !r.shared(now) && l.turn(now)
+	return !r.active(now) && l.turn(now)
 }
 
-// spend takes a request that is sent from what was granted, or from the turn, and
-// says whether it was granted.
-func (l *limitState) spend(now time.Time) bool {
-	l.sentAt = now
-	if l.grants(now) == 0 {
+// consume charges a sent request to a grant or else to the turn, and reports whether it
+// was granted.
+func (l *limitState) consume(now time.Time) bool {
+	l.lastSentAt = now
+	if l.activeGrants(now) == 0 {
 		return false
 	}
-	l.granted[0].requests--
+	l.grants[0].requests--
 	return true
 }
 
-// limitRate returns the requests a second that the server's rate limit lets this
-// instance send, if so many more wanted to: its part of all that want what the
-// server serves, or its own share.
-func (s *serverState) limitRate(now time.Time, r *rationing, more int) float64 {
-	if !r.shared(now) {
-		return s.rateLimit.PerSecond * ownPart / r.count()
+// allowedRate returns the requests per second that the server's rate limit allows this
+// instance, assuming that it has more additional requests to send. It is proportional to
+// its part of all requests for the server's targets, or its own share while the lease
+// holder doesn't share limits out.
+func (s *serverState) allowedRate(now time.Time, r *rationing, more int) float64 {
+	if !r.active(now) {
+		return s.rateLimit.PerSecond * ownPart / r.instanceCount()
 	}
-	own := s.wanted(now) + float64(more)
+	own := s.demand(now) + float64(more)
 	return s.rateLimit.PerSecond * own / max(own, s.quota.contending, 1)
 }
 
-// rateFilter drops servers that name a rate limit, unless it lets this instance send
-// a request now. Such a server goes first: what the limit allows lapses, and only
+// rateFilter drops servers that name a rate limit, unless the limit allows this instance
+// a request now. Such servers are tried first, since the allowance expires and only
 // answers show that the limit has ended.
 type rateFilter struct{}
 
@@ -275,8 +278,8 @@
 	return s.fill == rationed && c.server.rateLimit.allows(now, &s.rationing)
 }
 
-// limitAllows says whether any of the target's servers names a rate limit that lets
-// this instance send a request now.
+// limitAllows reports whether any of the target's servers names a rate limit that allows
+// this instance a request now.
 func (s *Scheduler) limitAllows(now time.Time, t *targetState) bool {
 	if !s.limited {
 		return false
--- a/decide/replicas.go
+++ b/decide/replicas.go
@@ -9,33 +9,33 @@
 )
 
 const (
-	// homePatience is how long a domain waits for each domain that ranks before
-	// it to place a model that is nowhere: several plans of the home, and far
-	// less than the minutes that a lost domain lasts.
-	homePatience = 10 * time.Second
-	// firstGain orders first replicas before everything else: a model without
-	// one can't be reached.
-	firstGain = 1000.0
-	// versionGain orders new versions before further replicas.
+	// homeTakeoverDelay is how long a domain waits, per domain that ranks before
+	// it, for them to place a model that has no replica. It covers several plans
+	// and is much shorter than the loss of a domain, which lasts minutes.
+	homeTakeoverDelay = 10 * time.Second
+	// firstReplicaGain ranks first replicas before all other moves, since a model
+	// without a replica is unavailable.
+	firstReplicaGain = 1000.0
+	// versionGain ranks new versions before additional replicas.
 	versionGain = 100.0
-	// secondGain is the worth of a second replica, in requests a second: what
-	// an ordinary model would lose while its only server restarts.
-	secondGain = 0.05
+	// secondReplicaGain is the value of a second replica, in requests per second:
+	// what an ordinary model would lose while its only server restarts.
+	secondReplicaGain = 0.05
 )
 
-// The reasons of moves.
+// The values of Move.Reason.
 const (
-	moveUndeclared = "undeclared"
-	moveFirst      = "first_replica"
-	moveVersion    = "version"
-	moveSecond     = "second_replica"
-	moveDemand     = "demand"
-	moveRoom       = "make_room"
+	moveUndeclared    = "undeclared"
+	moveFirstReplica  = "first_replica"
+	moveVersion       = "version"
+	moveSecondReplica = "second_replica"
+	moveDemand        = "demand"
+	moveMakeRoom      = "make_room"
 )
 
-// dropUndeclared drops what the configuration no longer has, and adapters whose
-// model has gone from beside them.
-func (w *planView) dropUndeclared() {
+// dropUndeclared drops items that the configuration no longer declares, and adapters
+// whose model is no longer on the same server.
+func (w *planState) dropUndeclared() {
 	for _, s := range w.servers {
 		for _, i := range slices.Clone(s.items) {
 			if !w.declared(i) || i.Adapter != "" && !s.has(i.Model) {
@@ -45,124 +45,127 @@
 	}
 }
 
-func (w *planView) declared(i infra.Item) bool {
-	if _, ok := w.in.Config.Models[i.Model]; !ok {
+func (w *planState) declared(i infra.Item) bool {
+	if _, ok := w.input.Config.Models[i.Model]; !ok {
 		return false
 	}
 	if i.Adapter == "" {
 		return true
 	}
-	a, ok := w.in.Config.Adapters[i.Adapter]
+	a, ok := w.input.Config.Adapters[i.Adapter]
 	return ok && a.Model == i.Model
 }
 
-// placeFirst places what this domain should have the only replica of, the
-// largest first, so that they still fit. It says whether nothing is missing.
-func (w *planView) placeFirst() bool {
+// placeFirstReplicas places the first replicas that this domain is responsible for.
+// The largest models go first, while they still fit. It reports whether all were placed.
+func (w *planState) placeFirstReplicas() bool {
 	complete := true
-	for _, name := range w.bySize() {
-		if !w.wantsFirst(name) {
+	for _, name := range w.modelsBySize() {
+		if !w.wantsFirstReplica(name) {
 			continue
 		}
-		if !w.place(name, moveFirst, firstGain) {
+		if !w.place(name, moveFirstReplica, firstReplicaGain) {
 			complete = false
-			w.makeRoom(name, moveFirst)
+			w.makeRoom(name, moveFirstReplica)
 		}
 	}
-	for _, name := range sortedNames(w.in.Config.Adapters) {
-		if w.wantsFirst(name) && !w.place(name, moveFirst, firstGain) {
+	for _, name := range sortedNames(w.input.Config.Adapters) {
+		if w.wantsFirstReplica(name) && !w.place(name, moveFirstReplica, firstReplicaGain) {
 			complete = false
-			w.makeRoom(name, moveFirst)
+			w.makeRoom(name, moveFirstReplica)
 		}
 	}
 	return complete
 }
 
-// bySize returns the models, those that take most with their adapters first.
-func (w *planView) bySize() []string {
-	names := sortedNames(w.in.Config.Models)
+// modelsBySize returns the models, the largest including their adapters first.
+func (w *planState) modelsBySize() []string {
+	names := sortedNames(w.input.Config.Models)
 	slices.SortStableFunc(names, func(a, b string) int { return cmp.Compare(w.bundleSize(b), w.bundleSize(a)) })
 	return names
 }
 
-// bundleSize returns the memory, in MiB, of a model with its adapters.
-func (w *planView) bundleSize(model string) int64 {
-	size := w.in.Config.Models[model].MiB
+// bundleSize returns the memory, in MiB, of a model and its adapters.
+func (w *planState) bundleSize(model string) int64 {
+	size := w.input.Config.Models[model].MiB
 	for _, a := range w.adapters[model] {
-		size += w.in.Config.Adapters[a].MiB
+		size += w.input.Config.Adapters[a].MiB
 	}
 	return size
 }
 
-// rank returns the domain's place among the model's homes; -1: none of them.
-func (w *planView) rank(model string) (rank, of int) {
-	h := w.p.homes.get(w.in.Config, w.in.Domains, model)
-	return slices.Index(h, w.in.Domain), len(h)
+// rank returns the domain's rank among the model's homes, -1 if it isn't one, and the
+// number of homes.
+func (w *planState) rank(model string) (rank, count int) {
+	h := w.p.homes.get(w.input.Config, w.input.Domains, model)
+	return slices.Index(h, w.input.Domain), len(h)
 }
 
-// wantsFirst says whether the domain should place the name's only replica: it
-// is the home, or those that rank before it had their time.
-func (w *planView) wantsFirst(name string) bool {
-	if len(w.replicas[name]) > 0 || w.in.Elsewhere[name] > 0 {
-		delete(w.p.missing, name)
+// wantsFirstReplica reports whether the domain should place the name's first replica:
+// it is the home, or the domains that rank before it have had homeTakeoverDelay each.
+func (w *planState) wantsFirstReplica(name string) bool {
+	if len(w.replicas[name]) > 0 || w.input.OtherDomainReplicas[name] > 0 {
+		delete(w.p.missingSince, name)
 		return false
 	}
 	rank, _ := w.rank(w.item(name).Model)
 	if rank < 0 {
 		return false
 	}
-	since, ok := w.p.missing[name]
+	since, ok := w.p.missingSince[name]
 	if !ok {
-		since = w.in.Now
-		w.p.missing[name] = since
+		since = w.input.Now
+		w.p.missingSince[name] = since
 	}
-	return w.in.Now.Sub(since) >= time.Duration(rank)*homePatience
+	return w.input.Now.Sub(since) >= time.Duration(rank)*homeTakeoverDelay
 }
 
-// wantsSecond says whether the domain should place the name's second replica:
-// it is one of the two domains that rank first, or the only one.
-func (w *planView) wantsSecond(name string) bool {
+// wantsSecondReplica reports whether the domain should place the name's second
+// replica: it has none and is one of the two highest-ranked domains, or it is the only
+// domain.
+func (w *planState) wantsSecondReplica(name string) bool {
 	here := len(w.replicas[name])
-	rank, of := w.rank(w.item(name).Model)
-	if rank < 0 || here+w.in.Elsewhere[name] != 1 {
+	rank, count := w.rank(w.item(name).Model)
+	if rank < 0 || here+w.input.OtherDomainReplicas[name] != 1 {
 		return false
 	}
-	return here == 0 && rank <= 1 || of == 1
+	return here == 0 && rank <= 1 || count == 1
 }
 
-// placeSecond places second replicas where memory is free.
-func (w *planView) placeSecond() {
-	for _, name := range w.bySize() {
-		if w.wantsSecond(name) {
-			w.place(name, moveSecond, secondGain)
+// placeSecondReplicas places second replicas where memory is free.
+func (w *planState) placeSecondReplicas() {
+	for _, name := range w.modelsBySize() {
+		if w.wantsSecondReplica(name) {
+			w.place(name, moveSecondReplica, secondReplicaGain)
 		}
 	}
-	for _, name := range sortedNames(w.in.Config.Adapters) {
-		if w.wantsSecond(name) && w.beside(name) {
-			w.place(name, moveSecond, secondGain)
+	for _, name := range sortedNames(w.input.Config.Adapters) {
+		if w.wantsSecondReplica(name) && w.hasModelHost(name) {
+			w.place(name, moveSecondReplica, secondReplicaGain)
 		}
 	}
 }
 
-// beside says whether some server has the adapter's model and not the adapter.
-func (w *planView) beside(adapter string) bool {
-	return slices.ContainsFunc(w.replicas[w.item(adapter).Model], func(s *planServer) bool { return s.open && !s.has(adapter) })
+// hasModelHost reports whether some assignable server has the adapter's model but not
+// the adapter.
+func (w *planState) hasModelHost(adapter string) bool {
+	return slices.ContainsFunc(w.replicas[w.item(adapter).Model], func(s *planServer) bool { return s.assignable && !s.has(adapter) })
 }
 
-// place adds the name to the best open server that it fits, an adapter beside
-// its model, or with it where none has room.
-func (w *planView) place(name, reason string, gain float64) bool {
+// place adds the name to the best assignable server that it fits. An adapter goes to a
+// server with its model, or is added together with its model if none has room.
+func (w *planState) place(name, reason string, gain float64) bool {
 	items, s := w.bestServer(name)
 	return s != nil && w.add(s, items, reason, gain)
 }
 
-// bestServer returns where one more replica of the name goes now, and the items
-// to add there.
-func (w *planView) bestServer(name string) ([]infra.Item, *planServer) {
+// bestServer returns the server for one more replica of the name, and the items to add
+// there. It returns nil if the name fits no server.
+func (w *planState) bestServer(name string) ([]infra.Item, *planServer) {
 	item := w.item(name)
 	var best *planServer
 	for _, s := range w.servers {
-		if s.open && !s.has(name) && w.fits(s, item) && (best == nil || w.better(s, best, item.Model)) {
+		if s.assignable && !s.has(name) && w.fits(s, item) && (best == nil || w.betterServer(s, best, item.Model)) {
 			best = s
 		}
 	}
@@ -175,31 +178,33 @@
 	return []infra.Item{item}, best
 }
 
-// fits says whether the item fits the server, with its model where that has to
-// come along.
-func (w *planView) fits(s *planServer, item infra.Item) bool {
+// fits reports whether the server has memory for the item, including the model of an
+// adapter if the server doesn't have that model.
+func (w *planState) fits(s *planServer, item infra.Item) bool {
 	size := item.MiB
 	if item.Adapter != "" && !s.has(item.Model) {
-		size += w.in.Config.Models[item.Model].MiB
+		size += w.input.Config.Models[item.Model].MiB
 	}
-	return s.free >= size && w.allows(s, item.Model, size)
+	return s.freeMiB >= size && w.mayHost(s, item.Model, size)
 }
 
-// better prefers, for an adapter, a server that has its model; for a model one
-// that has room for its adapters too; then the less loaded; then the emptier.
-func (w *planView) better(a, b *planServer, model string) bool {
+// betterServer reports whether a is a better server than b: first one that already has
+// the model, then one with room for the model and its adapters, then the less utilized
+// one, then the one with more free memory.
+func (w *planState) betterServer(a, b *planServer, model string) bool {
 	if x, y := a.has(model), b.has(model); x != y {
 		return x
 	}
 	size := w.bundleSize(model)
-	if x, y := a.free >= size, b.free >= size; x != y {
+	if x, y := a.freeMiB >= size, b.freeMiB >= size; x != y {
 		return x
 	}
-	if x, y := pressureStep(a), pressureStep(b); x != y {
+	if x, y := utilizationStep(a), utilizationStep(b); x != y {
 		return x < y
 	}
-	return a.free > b.free
+	return a.freeMiB > b.freeMiB
 }
 
-// pressureStep rounds a server's load, so that noise doesn't decide.
-func pressureStep(s *planServer) int { return int(s.pressure * 5) }
+// utilizationStep returns a server's utilization in steps of 0.2, so that noise
+// doesn't decide.
+func utilizationStep(s *planServer) int { return int(s.utilization * 5) }
--- a/decide/retry.go
+++ b/decide/retry.go
@@ -97,12 +97,12 @@
 
 // blame notes what a failure says about the server and the replica.
 func (s *Scheduler) blame(now time.Time, t *targetState, srv *serverState, f Failure) {
-	gone, cut := notReached(f)
+	gone, cut := connectFailure(f)
 	switch {
 	case gone:
 		srv.gone(now)
 	case cut:
-		srv.domain.unreachable(now, srv.ID)
+		srv.domain.recordUnreachable(now, srv.ID)
 	}
 	if f.RetryAfter > 0 {
 		srv.pauseFor(now, f.RetryAfter)
@@ -110,23 +110,23 @@
 	switch f.Reason {
 	case infra.ReasonNotResident:
 		if r := t.replica(srv); r != nil {
-			r.unreadyTo = now.Add(backoff(unready, unreadyMax, r.bounces))
-			r.bounces++
+			r.unreadyUntil = now.Add(backoff(unready, unreadyMax, r.consecutiveMisses))
+			r.consecutiveMisses++
 		}
 		if t.Adapter == "" {
-			srv.lacked(now)
+			srv.recordMiss(now)
 		}
 	case infra.ReasonOverloaded:
-		srv.window = max(srv.part, float64(srv.own)*windowShrink)
-		srv.refusedAgain(now)
+		srv.window = max(srv.slotShare, float64(srv.own)*windowShrink)
+		srv.recordRefusal(now)
 	case infra.ReasonLeaving:
-		srv.retryAt = now.Add(leavingPause)
+		srv.backoffUntil = now.Add(leavingPause)
 	case infra.ReasonFailed:
-		srv.errors.add(1)
+		srv.errorRate.add(1)
 	case infra.ReasonBadRequest, infra.ReasonCanceled:
 	default:
-		srv.retryAt = now.Add(backoff(failureBackoff, failureBackoffMax, srv.failures))
-		srv.failures++
+		srv.backoffUntil = now.Add(backoff(failureBackoff, failureBackoffMax, srv.consecutiveFailures))
+		srv.consecutiveFailures++
 	}
 }
 
--- a/decide/scheduler.go
+++ b/decide/scheduler.go
@@ -51,10 +51,10 @@
 // SetTable replaces what is known of the fleet.
 func (s *Scheduler) SetTable(now time.Time, t *Table) []Decision {
 	s.out = s.out[:0]
-	for _, gone := range s.fleet.set(now, t) {
+	for _, gone := range s.fleet.applyTable(now, t) {
 		s.refuseAll(gone, ReasonUnknownTarget, 0)
 	}
-	s.limited = s.RateLimited() > 0
+	s.limited = s.RateLimitedServers() > 0
 	s.nearFill = t.NearFill
 	if s.nearFill <= 0 {
 		s.nearFill = roomyPart
@@ -65,7 +65,7 @@
 		s.crowd = s.crowd || srv.FailureDomain == t.OwnDomain && t.Entries[t.OwnDomain] > srv.Slots
 	}
 	for i := range t.Servers { // what a server newly serves may be waited for by all
-		if srv := s.fleet.servers[t.Servers[i].ID]; len(srv.residents) > srv.quota.residents {
+		if srv := s.fleet.servers[t.Servers[i].ID]; len(srv.servedTargets) > srv.quota.servedTargets {
 			srv.drawQuota(now, s.rng)
 		}
 	}
@@ -83,7 +83,7 @@
 	case f.target == nil:
 		s.refuse(f, ReasonUnknownTarget, 0)
 	default:
-		f.target.arrivals.add(now)
+		f.target.arrivalRate.add(now)
 		s.setDeadline(f)
 		s.place(now, f)
 	}
@@ -130,9 +130,9 @@
 	}
 	if o.Complete && f.at != nil && f.at.ID == server {
 		f.target.learn(now, f, o)
-		f.at.served()
-		f.at.domain.answered()
-		f.at.errors.add(0)
+		f.at.recordSuccess()
+		f.at.domain.recordAnswer()
+		f.at.errorRate.add(0)
 		f.at.pool.budget.succeeded()
 	}
 	s.end(now, f, o.Complete)
@@ -153,7 +153,7 @@
 	s.out = s.out[:0]
 	if srv := s.fleet.servers[server]; srv != nil {
 		srv.reported(now, load, age)
-		srv.contended(now, load.Contending, s.rng)
+		srv.updateQuota(now, load.Contending, s.rng)
 		s.pumpServer(now, srv)
 	}
 	return s.out
@@ -179,7 +179,7 @@
 func (s *Scheduler) Drain(now time.Time) []Decision {
 	s.out = s.out[:0]
 	s.draining = true
-	for _, t := range s.fleet.ordered {
+	for _, t := range s.fleet.sortedTargets {
 		s.refuseAll(t, ReasonShuttingDown, shutdownRetry)
 	}
 	return s.out
@@ -232,7 +232,7 @@
 		return
 	}
 	f.avoid = nil
-	if back := f.target.backIn(now); !waitable && f.late(now, back) {
+	if back := f.target.untilAvailable(now); !waitable && f.late(now, back) {
 		s.refuse(f, ReasonNoReplica, max(seconds(back), minRetryAfter))
 		return
 	}
@@ -244,13 +244,13 @@
 	f.at, f.sentAt = srv, now
 	f.alone, f.begun = c.unread <= aloneUnread && f.delivered == 0, false
 	srv.unread += f.PromptTokens
-	srv.quota.left--
-	granted := srv.rateLimit.spend(now)
+	srv.quota.remaining--
+	granted := srv.rateLimit.consume(now)
 	f.lined = c.load+1 > float64(srv.Slots)
 	f.attempts++
 	f.target.inFlight++
 	srv.own++
-	srv.pool.count(f.target.partner, 1)
+	srv.pool.addInFlight(f.target.partner, 1)
 	if f.Suspect {
 		srv.suspects++
 	}
@@ -292,7 +292,7 @@
 	if !f.begun {
 		srv.unread -= f.PromptTokens
 	}
-	srv.pool.count(f.target.partner, -1)
+	srv.pool.addInFlight(f.target.partner, -1)
 	if f.Suspect {
 		srv.suspects--
 	}
@@ -304,7 +304,7 @@
 	if srv == nil {
 		s.unqueue(f)
 	} else if !complete {
-		f.target.learnLate(now, f)
+		f.target.learnAbandoned(now, f)
 	}
 	s.release(now, f)
 	s.forget(f)
--- a/decide/scheduler_test.go
+++ b/decide/scheduler_test.go
@@ -158,7 +158,7 @@
 func TestRetriesAreSafeAndBudgeted(t *testing.T) {
 	s := testScheduler(testTable(2, 1000, 1, "am"))
 	fail := func(id string, idempotent bool, f Failure) Decision {
-		s.fleet.servers["s0"].retryAt, s.fleet.servers["s1"].retryAt = simStart, simStart
+		s.fleet.servers["s0"].backoffUntil, s.fleet.servers["s1"].backoffUntil = simStart, simStart
 		r := ask(id, "am", time.Hour)
 		r.Idempotent = idempotent
 		return s.Failed(simStart, id, s.Arrive(simStart, r)[0].Server.ID, f)[0]
--- a/decide/score.go
+++ b/decide/score.go
@@ -33,14 +33,14 @@
 
 func (workScorer) score(_ *Scheduler, _ time.Time, f *flight, c *candidate) float64 {
 	fill := min(c.load/float64(c.server.Slots), 1)
-	return serviceOf(f) * c.server.slowness() * (1 + crowding*fill)
+	return serviceOf(f) * c.server.relativeSlowdown() * (1 + crowding*fill)
 }
 
 // waitScorer is the time until the server has a free slot.
 type waitScorer struct{}
 
 func (waitScorer) score(_ *Scheduler, _ time.Time, f *flight, c *candidate) float64 {
-	return c.wait(f) * c.server.slowness()
+	return c.wait(f) * c.server.relativeSlowdown()
 }
 
 // wait returns the seconds until the server, at ordinary speed, has a free slot.
@@ -69,7 +69,7 @@
 	if f.Prefix == 0 || c.server != s.hinted || c.load > prefixOverload*s.meanLoad+1 {
 		return 0
 	}
-	return -prefixSaves * f.target.times(now).first.mean
+	return -prefixSaves * f.target.currentTimes(now).firstToken.mean
 }
 
 // failureScorer is the part of a server's answers that were failures of its own.
@@ -78,7 +78,7 @@
 type failureScorer struct{}
 
 func (failureScorer) score(_ *Scheduler, _ time.Time, _ *flight, c *candidate) float64 {
-	return failureCost * c.server.errors.mean
+	return failureCost * c.server.errorRate.mean
 }
 
 func serviceOf(f *flight) float64 {
--- a/decide/sim_test.go
+++ b/decide/sim_test.go
@@ -314,8 +314,8 @@
 	dem := d.demandOf(r.Target)
 	dem.RequestsPerSecond++
 	dem.TokensPerSecond += float64(tokens)
-	w.result.asked++
-	w.result.partnerAsked[r.Partner]++
+	w.result.requests++
+	w.result.partnerRequests[r.Partner]++
 	w.after(r.Deadline.Sub(w.now), func() { w.leave(j); delete(entry.jobs, r.ID) })
 	w.carryOut(entry, entry.router.Arrive(w.now, r))
 }
@@ -328,8 +328,8 @@
 	if why == "" {
 		return
 	}
-	w.result.missed[why]++
-	w.result.lost[j.Target]++
+	w.result.missedByReason[why]++
+	w.result.missedByTarget[j.Target]++
 	if !strings.HasPrefix(why, "late") {
 		w.result.refused++
 		j.entry.domain.demandOf(j.Target).RefusedPerSecond++
@@ -339,7 +339,7 @@
 // load makes an item resident after the store has given it.
 func (w *world) load(e *simEngine, item infra.Item, owner string) {
 	e.Assigned = append(e.Assigned, item)
-	e.Since[item.Key()] = w.now
+	e.AssignedAt[item.Key()] = w.now
 	if w.moves {
 		w.result.moves++
 	}
--- a/decide/speed.go
+++ b/decide/speed.go
@@ -5,80 +5,79 @@
 )
 
 const (
-	// poolMemory is the weight of one answer in its pool's speed: a pool is the
-	// yardstick for its servers, so it moves slower than any of them.
-	poolMemory = 0.01
-	// slowest bounds how slow a server is taken to be, so that a few bad answers
-	// can't keep it from ever being tried again.
-	slowest = 8
-	// lateFactor is how much longer than the time that an attempt was given the
-	// whole is taken to need.
-	lateFactor = 2
-	// ownTimesKept is how long a target's own times are believed with none of it
-	// in flight: longer, and an estimate that refuses everything could never
-	// learn that it is wrong.
-	ownTimesKept = 30 * time.Second
+	// poolSlowdownWeight is the weight of one answer in its pool's slowdown. The pool is
+	// the reference for its servers, so it changes more slowly than they do.
+	poolSlowdownWeight = 0.01
+	// maxSlowdown bounds a server's slowdown, so that a few bad answers don't keep
+	// the server from ever being tried again.
+	maxSlowdown = 8
+	// abandonedFactor multiplies the time after which an attempt was abandoned to
+	// estimate its total time.
+	abandonedFactor = 2
+	// ownTimesTTL is how long a target's own service times are used with none of its
+	// requests in flight. Without a bound an estimate that causes every request to be
+	// refused would never be corrected.
+	ownTimesTTL = 30 * time.Second
 )
 
-// serviceTimes is how long a target's answers take, from what they lately took.
+// serviceTimes holds averages of how long recent answers took.
 type serviceTimes struct {
-	first  average // seconds to the first token; for a plain service to the answer
-	token  average // seconds for each further token
-	length average // tokens of an answer, as a part of what the caller allowed
-	last   time.Time
+	firstToken average // seconds to the first token; for a plain service, to the answer
+	perToken   average // seconds per further token
+	length     average // tokens of an answer, divided by the most that it could have
+	updatedAt  time.Time
 }
 
-// times returns the target's own times of service, or the pool's where too
-// little is known of the target: an instance among many sees a rare model once
+// currentTimes returns the target's own service times, or the pool's if there are too
+// few recent samples: one of many instances may get a request for a rare model only once
 // in minutes.
-func (t *targetState) times(now time.Time) *serviceTimes {
-	if t.service.first.warm() && (t.inFlight > 0 || now.Sub(t.service.last) < ownTimesKept) || len(t.replicas) == 0 {
+func (t *targetState) currentTimes(now time.Time) *serviceTimes {
+	if t.service.firstToken.warm() && (t.inFlight > 0 || now.Sub(t.service.updatedAt) < ownTimesTTL) || len(t.replicas) == 0 {
 		return &t.service
 	}
 	return &t.replicas[0].server.pool.service
 }
 
-// expected returns the time, in seconds, that a request takes at a server of
-// ordinary speed, and 0 where too little is known. spread adds that many mean
-// deviations of each part.
-func (t *targetState) expected(now time.Time, f *flight, spread float64) float64 {
-	st := t.times(now)
-	if !st.first.warm() {
+// expectedTime returns the seconds that a request takes on a server of average speed, or
+// 0 if too little is known. spread is the number of mean deviations to add to each part.
+func (t *targetState) expectedTime(now time.Time, f *flight, spread float64) float64 {
+	st := t.currentTimes(now)
+	if !st.firstToken.warm() {
 		return 0
 	}
-	sum := st.first.mean + spread*st.first.dev
+	sum := st.firstToken.mean + spread*st.firstToken.dev
 	if t.Service {
 		return sum
 	}
 	length := min(st.length.mean+spread*st.length.dev, 1)
-	return sum + max(float64(t.allowed(&f.Request))*length-float64(f.delivered), 0)*st.token.mean
+	return sum + max(float64(t.allowed(&f.Request))*length-float64(f.delivered), 0)*st.perToken.mean
 }
 
-// firstToken returns the time, in seconds, to the first token at a server of
-// ordinary speed that has nothing else to read, 0 where too little is known.
-func (t *targetState) firstToken(now time.Time, f *flight) float64 {
+// expectedFirstToken returns the seconds to the first token on a server of average speed
+// that has no other prompt to read, or 0 if too little is known.
+func (t *targetState) expectedFirstToken(now time.Time, f *flight) float64 {
 	if t.pool != nil && f.PromptTokens > 0 {
 		if reading := t.pool.engine.readTime(float64(f.PromptTokens)); reading > 0 {
 			return reading
 		}
 	}
-	st := t.times(now)
-	if !st.first.warm() {
+	st := t.currentTimes(now)
+	if !st.firstToken.warm() {
 		return 0
 	}
-	return st.first.mean
+	return st.firstToken.mean
 }
 
-// readAhead returns the seconds for which a request that waited has to wait at the
-// server for others' prompts, 0 where reading isn't known to take the time there.
-func (t *targetState) readAhead(f *flight) float64 {
+// expectedReadWait returns the seconds that a queued request will wait at the server for
+// other prompts to be read, or 0 if the engines' read rate isn't known.
+func (t *targetState) expectedReadWait(f *flight) float64 {
 	if t.pool == nil || f.PromptTokens <= 0 || t.pool.engine.rate() <= 0 {
 		return 0
 	}
 	return mostRead
 }
 
-// allowed returns how many tokens the answer may have.
+// allowed returns the most tokens that the answer may have.
 func (t *targetState) allowed(r *Request) int {
 	if r.MaxTokens > 0 && (t.MaxTokens <= 0 || r.MaxTokens < t.MaxTokens) {
 		return r.MaxTokens
@@ -86,17 +85,17 @@
 	return t.MaxTokens
 }
 
-// learn takes in how a complete answer went.
+// learn updates the averages with a complete answer.
 func (t *targetState) learn(now time.Time, f *flight, o Outcome) {
-	s, usual := f.at, *t.times(now)
+	s, usual := f.at, *t.currentTimes(now)
 	took := o.Total.Seconds()
 	switch {
 	case t.Service:
-		s.learn(took, usual.first.mean)
+		s.learn(took, usual.firstToken.mean)
 	case o.FirstToken <= 0 || o.Tokens <= 0:
 		return
 	case o.Tokens > 1:
-		s.learn((o.Total-o.FirstToken).Seconds()/float64(o.Tokens-1), usual.token.mean)
+		s.learn((o.Total-o.FirstToken).Seconds()/float64(o.Tokens-1), usual.perToken.mean)
 		s.pool.engine.learnPace(o.Tokens, (o.Total-o.FirstToken).Seconds()/float64(o.Tokens-1))
 	}
 	t.service.learn(now, t, f, o)
@@ -104,51 +103,52 @@
 }
 
 func (st *serviceTimes) learn(now time.Time, t *targetState, f *flight, o Outcome) {
-	st.last = now
+	st.updatedAt = now
 	if t.Service {
-		st.first.add(o.Total.Seconds())
+		st.firstToken.add(o.Total.Seconds())
 		return
 	}
-	if !f.lined || !st.first.warm() { // else it holds the wait in the server's queue
-		st.first.add(o.FirstToken.Seconds())
+	if !f.lined || !st.firstToken.warm() { // otherwise the time includes the wait in the server's queue
+		st.firstToken.add(o.FirstToken.Seconds())
 	}
 	if allowed := t.allowed(&f.Request); allowed > 0 {
 		st.length.add(min(float64(o.Tokens+f.delivered)/float64(allowed), 1))
 	}
 	if o.Tokens > 1 {
-		st.token.add((o.Total - o.FirstToken).Seconds() / float64(o.Tokens-1))
+		st.perToken.add((o.Total - o.FirstToken).Seconds() / float64(o.Tokens-1))
 	}
 }
 
-// learnLate takes in an attempt that was given up on after longer than it should
-// have taken. Without it only the quick answers of an overloaded server would
-// count, and it would seem fast. How long the whole would have taken isn't
-// known: twice as long is a guess that soon gets beyond the truth.
-func (t *targetState) learnLate(now time.Time, f *flight) {
-	usual := t.expected(now, f, safeSpread)
+// learnAbandoned updates the server's slowdown with an attempt that was abandoned after it
+// took longer than expected. Without it only the quick answers of an overloaded server
+// would count, and the server would seem fast. The total time isn't known; twice the
+// elapsed time is an estimate that soon exceeds it.
+func (t *targetState) learnAbandoned(now time.Time, f *flight) {
+	usual := t.expectedTime(now, f, safeSpread)
 	took := now.Sub(f.sentAt).Seconds()
-	if usual <= 0 || took <= usual*f.at.slowness() {
+	if usual <= 0 || took <= usual*f.at.relativeSlowdown() {
 		return
 	}
-	f.at.learn(lateFactor*took, usual)
+	f.at.learn(abandonedFactor*took, usual)
 }
 
-// learn takes in the time for a piece of work against what it usually takes.
+// learn updates the averages with the time that some work took, in seconds, and
+// the time that it usually takes.
 func (s *serverState) learn(took, usual float64) {
 	if usual <= 0 || took <= 0 {
 		return
 	}
-	ratio := min(took/usual, slowest)
-	s.speed.add(ratio)
-	s.pool.speed += poolMemory * (ratio - s.pool.speed)
+	ratio := min(took/usual, maxSlowdown)
+	s.slowdown.add(ratio)
+	s.pool.slowdown += poolSlowdownWeight * (ratio - s.pool.slowdown)
 }
 
-// slowness returns how much longer than its pool the server takes, 1 where
-// nothing is known. It is for one slow server among good ones: it gets less,
-// and only a failure takes it out.
-func (s *serverState) slowness() float64 {
-	if !s.speed.warm() || s.pool.speed <= 0 {
+// relativeSlowdown returns how many times as long as its pool's average the server takes,
+// or 1 if that isn't known. It lets one slow server among normal ones get fewer requests;
+// only failures exclude a server.
+func (s *serverState) relativeSlowdown() float64 {
+	if !s.slowdown.warm() || s.pool.slowdown <= 0 {
 		return 1
 	}
-	return min(max(s.speed.mean/s.pool.speed, 1/float64(slowest)), slowest)
+	return min(max(s.slowdown.mean/s.pool.slowdown, 1/float64(maxSlowdown)), maxSlowdown)
 }
--- a/decide/storelimit.go
+++ b/decide/storelimit.go
@@ -5,39 +5,39 @@
 	"slices"
 )
 
-// loadBurst is how many seconds' worth of the store's rate may be saved up: one
-// plan must not begin more loads than the store takes in a short while, or they
-// all slow down together.
-const loadBurst = 10.0
+// loadBurstSeconds is the capacity of the load token bucket, in seconds of the weight
+// store's rate. One plan must not start more loads than the store handles in a short
+// time, since all of them would slow down.
+const loadBurstSeconds = 10.0
 
-// loadBudget keeps the planner within each partner's weight store. Failure
-// domains share a store and don't talk about it, so each takes an equal part.
+// loadBudget keeps the planner within the limits of each partner's weight store.
+// Failure domains share a store without coordination, so each takes an equal part.
 type loadBudget struct {
-	tokens map[string]float64 // by partner: loads
+	tokens map[string]float64 // by partner: loads, in a token bucket
 }
 
-// allowed returns how many loads each partner's store may begin now.
-func (b *loadBudget) allowed(w *planView) map[string]int {
+// allowed returns, by partner, how many loads may start now.
+func (b *loadBudget) allowed(w *planState) map[string]int {
 	loads := map[string]int{}
-	for _, m := range w.in.Config.Models {
+	for _, m := range w.input.Config.Models {
 		loads[m.Owner] = math.MaxInt
 	}
-	for _, a := range w.in.Config.Adapters {
+	for _, a := range w.input.Config.Adapters {
 		loads[a.Owner] = math.MaxInt
 	}
 	for owner := range loads {
-		limits, ok := w.in.Stores[owner]
+		limits, ok := w.input.Stores[owner]
 		if !ok {
 			continue
 		}
-		parts := float64(max(domainsOf(w, owner), 1))
+		parts := float64(max(countDomains(w, owner), 1))
 		if limits.LoadsPerSecond > 0 {
 			b.refill(owner, limits.LoadsPerSecond/parts, w.elapsed)
 			loads[owner] = min(loads[owner], int(b.tokens[owner]))
 		}
 		if limits.ConcurrentLoads > 0 {
-			most := max(int(float64(limits.ConcurrentLoads)/parts), 1)
-			loads[owner] = min(loads[owner], most-w.loading(owner))
+			limit := max(int(float64(limits.ConcurrentLoads)/parts), 1)
+			loads[owner] = min(loads[owner], limit-w.loadsInProgress(owner))
 		}
 		loads[owner] = max(loads[owner], 0)
 	}
@@ -45,19 +45,19 @@
 }
 
 func (b *loadBudget) refill(owner string, rate, elapsed float64) {
-	most := max(rate*loadBurst, 1)
+	capacity := max(rate*loadBurstSeconds, 1)
 	old, ok := b.tokens[owner]
 	if !ok {
-		old = most
+		old = capacity
 	}
-	b.tokens[owner] = min(max(old, -most)+rate*elapsed, most)
+	b.tokens[owner] = min(max(old, -capacity)+rate*elapsed, capacity)
 }
 
-// domainsOf counts the failure domains that have pools of the partner.
-func domainsOf(w *planView, owner string) int {
+// countDomains counts the failure domains that have pools of the partner.
+func countDomains(w *planState, owner string) int {
 	n := 0
-	for _, d := range w.in.Domains {
-		for _, p := range w.in.Config.Pools {
+	for _, d := range w.input.Domains {
+		for _, p := range w.input.Config.Pools {
 			if p.Owner == owner && slices.Contains(p.FailureDomains, d) {
 				n++
 				break
@@ -67,11 +67,11 @@
 	return n
 }
 
-// loading counts the partner's items that are assigned but not yet served.
-func (w *planView) loading(owner string) int {
+// loadsInProgress counts the partner's items that are assigned but not yet ready.
+func (w *planState) loadsInProgress(owner string) int {
 	n := 0
 	for _, s := range w.servers {
-		if !s.open {
+		if !s.assignable {
 			continue
 		}
 		for _, i := range s.Assigned {
--- a/decide/suspect.go
+++ b/decide/suspect.go
@@ -7,97 +7,98 @@
 )
 
 const (
-	// refusedPause and refusedPauseMax bound how long a server that refuses is left
-	// alone: at first about one slot's turn, and longer the more often in a row,
-	// since one that refuses all is the emptiest and would be chosen again by each
-	// instance: one of 60 got 214 requests in two seconds, a tenth of all.
-	refusedPause    = 100 * time.Millisecond
-	refusedPauseMax = 800 * time.Millisecond
-	// emptyFor is how long a server that refused a connection is taken to hold
-	// nothing unless its entry shows a new start: a program that is gone loses what
-	// it held, and its entry follows within two heartbeats. Requests that may be
-	// sent to one server only are lost on one that came back empty: 358 in two
-	// seconds after 15 of 60 had crashed.
-	emptyFor = 2 * time.Second
-	// emptyBounces is how many targets in a row a server has to lack to be taken for
-	// one that started again unseen.
-	emptyBounces = 2
-	// cutServers is how many servers of a failure domain can't be reached, with no
-	// answer from any other there, until the domain counts as cut off: a connection
-	// that is given up on takes longer than most callers wait.
-	cutServers = 3
-	// cutPause and cutPauseMax bound how long a domain that is cut off is left alone
-	// between two tries.
-	cutPause    = 300 * time.Millisecond
-	cutPauseMax = 1500 * time.Millisecond
+	// refusalBackoff and refusalBackoffMax bound the backoff after a server refuses a
+	// request. It starts at about the time in which one slot is released and doubles
+	// with consecutive refusals. A server that refuses everything looks the emptiest
+	// and would be chosen again by each instance: one of 60 servers got 214 requests
+	// in two seconds, a tenth of all.
+	refusalBackoff    = 100 * time.Millisecond
+	refusalBackoffMax = 800 * time.Millisecond
+	// emptyTTL is how long a server that refused a connection is presumed to hold no
+	// models, unless its entry shows a new start. A process that has ended loses its
+	// models, and its entry is updated within two heartbeats. Requests that may be
+	// sent to only one server are lost on one that restarted empty: 358 in two
+	// seconds after 15 of 60 servers had crashed.
+	emptyTTL = 2 * time.Second
+	// emptyAfterMisses is the number of consecutive missing models after which a
+	// server is presumed to have restarted unnoticed.
+	emptyAfterMisses = 2
+	// cutOffThreshold is the number of unreachable servers of a failure domain, with
+	// no answer from any other there, at which the domain counts as cut off. A
+	// connection timeout is longer than most callers wait.
+	cutOffThreshold = 3
+	// cutOffBackoff and cutOffBackoffMax bound the backoff between two attempts to
+	// reach a domain that is cut off.
+	cutOffBackoff    = 300 * time.Millisecond
+	cutOffBackoffMax = 1500 * time.Millisecond
 )
 
-// domainState is what an instance knows of the way to a failure domain.
+// domainState is an instance's state of its connectivity to a failure domain.
 type domainState struct {
-	unreached map[string]bool // servers that weren't reached since the last answer from the domain
-	tries     int             // times that it was found cut off, in a row
-	cutTo     time.Time       // no request goes there before
+	unreachedServers   map[string]bool // servers that couldn't be reached since the domain's last answer
+	consecutiveCutOffs int             // cutoffs without an answer in between
+	cutOffUntil        time.Time       // until then its servers are used only if no others are usable
 }
 
-// unreachable notes that a server of the domain could not be reached.
-func (d *domainState) unreachable(now time.Time, server string) {
-	d.unreached[server] = true
-	if len(d.unreached) >= cutServers && !now.Before(d.cutTo) {
-		d.cutTo = now.Add(backoff(cutPause, cutPauseMax, d.tries))
-		d.tries++
+// recordUnreachable records that a server of the domain couldn't be reached.
+func (d *domainState) recordUnreachable(now time.Time, server string) {
+	d.unreachedServers[server] = true
+	if len(d.unreachedServers) >= cutOffThreshold && !now.Before(d.cutOffUntil) {
+		d.cutOffUntil = now.Add(backoff(cutOffBackoff, cutOffBackoffMax, d.consecutiveCutOffs))
+		d.consecutiveCutOffs++
 	}
 }
 
-// answered notes an answer from the domain.
-func (d *domainState) answered() {
-	if len(d.unreached) > 0 {
-		d.unreached = map[string]bool{}
+// recordAnswer records an answer from the domain.
+func (d *domainState) recordAnswer() {
+	if len(d.unreachedServers) > 0 {
+		d.unreachedServers = map[string]bool{}
 	}
-	d.tries, d.cutTo = 0, time.Time{}
+	d.consecutiveCutOffs, d.cutOffUntil = 0, time.Time{}
 }
 
-// domain returns the state of a failure domain.
+// domain returns the state of a failure domain, creating it if needed.
 func (f *fleet) domain(name string) *domainState {
 	d := f.domains[name]
 	if d == nil {
-		d = &domainState{unreached: map[string]bool{}}
+		d = &domainState{unreachedServers: map[string]bool{}}
 		f.domains[name] = d
 	}
 	return d
 }
 
-// gone notes that no program listens at the server: what it held is lost.
+// gone records that the server's process has presumably ended and its models are lost.
 func (s *serverState) gone(now time.Time) {
-	s.emptyStart, s.emptyTo = s.Start, now.Add(emptyFor)
+	s.emptyStart, s.emptyUntil = s.Start, now.Add(emptyTTL)
 }
 
-// lacked notes that the server doesn't have a target that the table has there.
-func (s *serverState) lacked(now time.Time) {
-	if s.lacks++; s.lacks >= emptyBounces {
+// recordMiss records that the server lacks a target that the table lists there.
+func (s *serverState) recordMiss(now time.Time) {
+	if s.consecutiveMisses++; s.consecutiveMisses >= emptyAfterMisses {
 		s.gone(now)
 	}
 }
 
-// refusedAgain notes that the server refused a request.
-func (s *serverState) refusedAgain(now time.Time) {
-	s.retryAt = now.Add(backoff(refusedPause, refusedPauseMax, s.refusals))
-	s.refusals++
+// recordRefusal records that the server refused a request.
+func (s *serverState) recordRefusal(now time.Time) {
+	s.backoffUntil = now.Add(backoff(refusalBackoff, refusalBackoffMax, s.consecutiveRefusals))
+	s.consecutiveRefusals++
 }
 
-// served notes that the server answered a request.
-func (s *serverState) served() {
-	s.failures, s.refusals, s.lacks = 0, 0, 0
-	s.emptyTo = time.Time{}
+// recordSuccess records that the server completed a request.
+func (s *serverState) recordSuccess() {
+	s.consecutiveFailures, s.consecutiveRefusals, s.consecutiveMisses = 0, 0, 0
+	s.emptyUntil = time.Time{}
 }
 
-// empty says whether the server is taken to hold nothing that it held before.
-func (s *serverState) empty(now time.Time) bool {
-	return now.Before(s.emptyTo) && s.Start == s.emptyStart
+// presumedEmpty reports whether the server is presumed to have lost its models.
+func (s *serverState) presumedEmpty(now time.Time) bool {
+	return now.Before(s.emptyUntil) && s.Start == s.emptyStart
 }
 
-// notReached says whether a failure means that no connection was made because no
-// program listens there, or that the way there is cut.
-func notReached(f Failure) (gone, cut bool) {
+// connectFailure reports why no connection was made: refused means that no process
+// listens there, timedOut that the network path failed. Both are false in other cases.
+func connectFailure(f Failure) (refused, timedOut bool) {
 	if !f.Unsent {
 		return false, false
 	}
--- a/decide/suspect_test.go
+++ b/decide/suspect_test.go
@@ -10,14 +10,15 @@
 	"greengageferry/infra"
 )
 
-// refuse has a server answer that it is full.
-func refuse(s *Scheduler, now time.Time, id, server string) []Decision {
+// refuseOverloaded reports to the scheduler that the server refused the request as
+// overloaded.
+func refuseOverloaded(s *Scheduler, now time.Time, id, server string) []Decision {
 	return s.Failed(now, id, server, Failure{Reason: infra.ReasonOverloaded, Effect: infra.EffectNone})
 }
 
-// One of four servers refuses whatever reaches it, and so is always the emptiest.
-// Requests may be sent to one server only.
-func TestAServerThatRefusesAllIsLeftAlone(t *testing.T) {
+// One of four servers refuses every request and therefore always has the lowest load. Each
+// request may be sent to only one server.
+func TestServerThatRefusesAllRequestsBacksOff(t *testing.T) {
 	s := testScheduler(testTable(4, 100, 1, "am"))
 	lost := 0
 	for i := range 200 { // 20 a second
@@ -27,16 +28,16 @@
 		d := s.Arrive(now, r)[0]
 		if d.Server.ID == "s0" {
 			lost++
-			refuse(s, now, r.ID, "s0")
+			refuseOverloaded(s, now, r.ID, "s0")
 			continue
 		}
 		answered(s, now, r.ID, d.Server.ID)
 	}
-	require.Less(t, lost, 20, "a constant pause of 0.1 s costs 43")
+	require.Less(t, lost, 20, "a constant backoff of 0.1 s costs 43 requests")
 }
 
-// A server crashed and is back empty, while the table still has its models there.
-func TestAServerThatRefusedAConnectionHoldsNothingUntilItsEntryShowsItsStart(t *testing.T) {
+// A server crashed and restarted empty, while the table still lists its models there.
+func TestServerThatRefusedAConnectionIsPresumedEmptyUntilItsNewStartIsListed(t *testing.T) {
 	table := testTable(2, 100, 1, "am")
 	s := testScheduler(table)
 	now := simStart
@@ -55,29 +56,29 @@
 		}
 		answered(s, now, id, d.Server.ID)
 	}
-	now = now.Add(failureBackoff + time.Millisecond) // it may be tried again
+	now = now.Add(failureBackoff + time.Millisecond) // the backoff has ended
 	for n := range 20 {
 		require.Equal(t, "s1", sentTo(fmt.Sprint("empty", n)))
 	}
-	again := *table
-	again.Servers = append([]Server(nil), table.Servers...)
-	again.Servers[0].Start = "later"
-	s.SetTable(now, &again)
+	restarted := *table
+	restarted.Servers = append([]Server(nil), table.Servers...)
+	restarted.Servers[0].Start = "later"
+	s.SetTable(now, &restarted)
 	seen := map[string]bool{}
 	for n := range 20 {
 		seen[sentTo(fmt.Sprint("back", n))] = true
 	}
-	require.True(t, seen["s0"], "its new start is listed with what it holds")
+	require.True(t, seen["s0"], "the new start is listed with its models, so it must be used again")
 }
 
-// The way to a failure domain is cut: each connection there is given up on after
-// a second that its caller doesn't have.
-func TestADomainThatSeemsCutOffComesLast(t *testing.T) {
+// The network to a failure domain is cut. Each connection attempt there times out after a
+// second, which is longer than the caller can wait.
+func TestCutOffDomainIsTriedLast(t *testing.T) {
 	table := testTable(12, 100, 1, "am")
 	for i := range 6 {
 		table.Servers[i].FailureDomain = "d1"
 	}
-	table.OwnDomain = "d2" // all of them are as far
+	table.OwnDomain = "d2" // all servers are equally remote
 	s := testScheduler(table)
 	cut := 0
 	for i := range 100 { // 50 a second
@@ -90,5 +91,5 @@
 		}
 		answered(s, now, id, d[0].Server.ID)
 	}
-	require.Less(t, cut, 10, "each server by itself costs 19")
+	require.Less(t, cut, 10, "detection per server alone costs 19")
 }
--- a/decide/turn.go
+++ b/decide/turn.go
@@ -22,15 +22,15 @@
 func (s *Scheduler) schedule(l *limitState) {
 	r := &s.rationing
 	every := time.Duration(0)
-	if rate := l.PerSecond * ownPart / r.count(); rate > 0 {
+	if rate := l.PerSecond * ownPart / r.instanceCount(); rate > 0 {
 		every = time.Duration(min(float64(time.Second)/rate, float64(math.MaxInt64)/2))
 	}
-	from := r.toldAt.Add(sharedFor)
+	from := r.updatedAt.Add(sharesTTL)
 	position := r.position
-	if r.toldAt.IsZero() {
-		from, position = l.since, s.rationing.drawn(s.rng)
+	if r.updatedAt.IsZero() {
+		from, position = l.namedSince, s.rationing.drawn(s.rng)
 	}
-	l.turnsFrom, l.turnEvery = from.Add(time.Duration(position*float64(every))), every
+	l.turnsStart, l.turnInterval = from.Add(time.Duration(position*float64(every))), every
 }
 
 // drawn returns the position of an instance that was told none: it stays the same.
@@ -44,10 +44,10 @@
 // turn says whether a turn is open that no request was sent in yet. Turns move when
 // the limit does: two requests are half of the time between turns apart at least.
 func (l *limitState) turn(now time.Time) bool {
-	since := now.Sub(l.turnsFrom)
-	if l.turnEvery <= 0 || since < 0 || now.Sub(l.sentAt) < l.turnEvery/2 {
+	since := now.Sub(l.turnsStart)
+	if l.turnInterval <= 0 || since < 0 || now.Sub(l.lastSentAt) < l.turnInterval/2 {
 		return false
 	}
-	into := since % l.turnEvery
-	return into < turnOpen && l.sentAt.Before(now.Add(-into))
+	into := since % l.turnInterval
+	return into < turnOpen && l.lastSentAt.Before(now.Add(-into))
 }
--- a/decide/version.go
+++ b/decide/version.go
@@ -6,20 +6,20 @@
 	"greengageferry/infra"
 )
 
-// changeVersions moves replicas to the declared version. A replica's new version
-// is loaded beside the old, and the old is dropped once the new one serves; where
-// the memory doesn't hold both, the old goes first if another replica serves
-// meanwhile. One replica of a name changes at a time, so that a version that
-// doesn't load takes at most one away.
-func (w *planView) changeVersions() {
+// updateVersions updates replicas to the declared version. The new version is loaded
+// beside the old one, which is dropped when the new one is ready. If the memory doesn't
+// hold both, the old one is dropped first, provided that another replica is ready
+// meanwhile. One replica of a name is updated at a time, so that a version that fails to
+// load costs at most one replica.
+func (w *planState) updateVersions() {
 	for _, name := range sortedNames(w.replicas) {
 		if len(w.replicas[name]) > 0 && w.declared(w.item(name)) {
-			w.changeVersion(w.item(name))
+			w.updateVersion(w.item(name))
 		}
 	}
 }
 
-func (w *planView) changeVersion(item infra.Item) {
+func (w *planState) updateVersion(item infra.Item) {
 	changing := false
 	for _, s := range slices.Clone(w.replicas[nameOfItem(item)]) {
 		old, has := oldVersions(s, item)
@@ -31,51 +31,52 @@
 			changing = changing || !served
 			continue
 		}
-		if changing || has || !s.open {
+		if changing || has || !s.assignable {
 			changing = true
 			continue
 		}
-		changing = w.replace(s, old, item)
+		changing = w.startUpdate(s, old, item)
 	}
 }
 
-// replace begins the change of one replica: beside the old version, in its place,
-// or on another server, where memory is cleared for it if need be.
-func (w *planView) replace(s *planServer, old []infra.Item, item infra.Item) bool {
+// startUpdate starts the update of one replica: beside the old version, in its place, or
+// on another server, with eviction there if necessary. It reports whether an update is
+// under way.
+func (w *planState) startUpdate(s *planServer, old []infra.Item, item infra.Item) bool {
 	name := nameOfItem(item)
-	lent := w.allows(s, item.Model, item.MiB)
-	if lent && w.add(s, []infra.Item{item}, moveVersion, versionGain) {
+	allowed := w.mayHost(s, item.Model, item.MiB)
+	if allowed && w.add(s, []infra.Item{item}, moveVersion, versionGain) {
 		return true
 	}
-	if lent && s.free >= item.MiB {
-		return false // the store's limits
+	if allowed && s.freeMiB >= item.MiB {
+		return false // limited by the weight store
 	}
-	if w.sparesAll(s, old[0]) {
-		items := w.takeOff(s, old, item)
-		if w.p.copied[name] == s.ID {
-			delete(w.p.copied, name) // its new version serves elsewhere
+	if w.removableWithAdapters(s, old[0]) {
+		items := w.dropForUpdate(s, old, item)
+		if w.p.updateSource[name] == s.ID {
+			delete(w.p.updateSource, name) // its new version is ready on another server
 		} else {
 			w.reserve(s, items, moveVersion)
 		}
 		return true
 	}
-	if !lent && slices.Contains(w.in.Config.Models[item.Model].Pools, s.Pool) {
-		return w.freeLent(s.Pool, item)
+	if !allowed && slices.Contains(w.input.Config.Models[item.Model].Pools, s.Pool) {
+		return w.freeLentMemory(s.Pool, item)
 	}
-	if w.p.copied[name] != "" && (w.isReserved(name) || w.hasItem(item)) {
+	if w.p.updateSource[name] != "" && (w.isReserved(name) || w.isAssigned(item)) {
 		w.copyAdapters(s, item)
 		return true
 	}
 	if items, to := w.otherServer(s, item); to != nil && w.add(to, items, moveVersion, versionGain) || w.makeRoom(name, moveVersion) {
-		w.p.copied[name] = s.ID
+		w.p.updateSource[name] = s.ID
 		return true
 	}
 	return false
 }
 
-// takeOff drops the old versions, with the adapters beside a model, and returns
-// what has to come in their place.
-func (w *planView) takeOff(s *planServer, old []infra.Item, item infra.Item) []infra.Item {
+// dropForUpdate drops the old versions and, for a model, its adapters on the server. It
+// returns the items that replace them.
+func (w *planState) dropForUpdate(s *planServer, old []infra.Item, item infra.Item) []infra.Item {
 	items := []infra.Item{item}
 	for _, i := range slices.Clone(s.items) {
 		if item.Adapter == "" && i.Model == item.Model && i.Adapter != "" {
@@ -89,8 +90,9 @@
 	return items
 }
 
-// otherServer returns a server without the name where the item fits.
-func (w *planView) otherServer(s *planServer, item infra.Item) ([]infra.Item, *planServer) {
+// otherServer returns another server that the item fits, and the items to add there, or
+// nil.
+func (w *planState) otherServer(s *planServer, item infra.Item) ([]infra.Item, *planServer) {
 	items, to := w.bestServer(nameOfItem(item))
 	if to == s {
 		return nil, nil
@@ -98,31 +100,32 @@
 	return items, to
 }
 
-// hasItem says whether some server is assigned the item.
-func (w *planView) hasItem(item infra.Item) bool {
-	return slices.ContainsFunc(w.servers, func(s *planServer) bool { return s.counts && slices.Contains(s.items, item) })
+// isAssigned reports whether the item is assigned to a server whose items count as
+// replicas.
+func (w *planState) isAssigned(item infra.Item) bool {
+	return slices.ContainsFunc(w.servers, func(s *planServer) bool { return s.countsReplicas && slices.Contains(s.items, item) })
 }
 
-// copyAdapters places the server's adapters of a model beside its new version
-// too, where they would else be nowhere when the old one goes.
-func (w *planView) copyAdapters(s *planServer, model infra.Item) {
+// copyAdapters also places the server's adapters of a model beside the model's new
+// version, if they would become unavailable when the old version is dropped.
+func (w *planState) copyAdapters(s *planServer, model infra.Item) {
 	for _, i := range slices.Clone(s.items) {
-		if i.Model == model.Model && i.Adapter != "" && !w.spareable(s, i) && len(w.replicas[i.Adapter]) < 2 {
+		if i.Model == model.Model && i.Adapter != "" && !w.removable(s, i) && len(w.replicas[i.Adapter]) < 2 {
 			w.place(i.Adapter, moveVersion, versionGain)
 		}
 	}
 }
 
-// freeLent drops the least valuable model of the item's owner from what the pool
-// lends it, so that the item's new version has room there.
-func (w *planView) freeLent(pool string, item infra.Item) bool {
+// freeLentMemory drops the least valuable model of the item's owner from the lent part
+// of the pool, so that the item's new version fits there.
+func (w *planState) freeLentMemory(pool string, item infra.Item) bool {
 	var at *planServer
 	var least victim
 	for _, s := range w.servers {
-		if s.Pool != pool || !s.open {
+		if s.Pool != pool || !s.assignable {
 			continue
 		}
-		for _, v := range w.victims(s, w.in.Now) {
+		for _, v := range w.victims(s, w.input.Now) {
 			if w.owner(v.items[0]) == w.owner(item) && v.items[0].Model != item.Model && (at == nil || v.value < least.value) {
 				at, least = s, v
 			}
@@ -132,23 +135,23 @@
 		return false
 	}
 	for _, i := range least.items {
-		w.drop(at, i, moveRoom)
+		w.drop(at, i, moveMakeRoom)
 	}
 	return true
 }
 
-// sparesAll says whether the item, with the adapters that go with a model, can
-// be spared on the server.
-func (w *planView) sparesAll(s *planServer, item infra.Item) bool {
+// removableWithAdapters reports whether the item and, for a model, its adapters can be
+// removed from the server.
+func (w *planState) removableWithAdapters(s *planServer, item infra.Item) bool {
 	if item.Adapter != "" {
-		return w.spareable(s, item)
+		return w.removable(s, item)
 	}
-	_, ok := w.victimOf(s, item)
+	_, ok := w.victimFor(s, item)
 	return ok
 }
 
-// oldVersions returns the item's other versions on the server, and whether the
-// declared one is assigned there.
+// oldVersions returns the other versions of the item on the server, and whether the
+// item's own version is assigned there.
 func oldVersions(s *planServer, item infra.Item) (old []infra.Item, has bool) {
 	for _, i := range s.items {
 		switch {
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -283,7 +283,7 @@
 	n := i.node.Load()
 	instances := v.Instances()
 	if !v.Counted {
-		instances = decide.MostInstances
+		instances = decide.MaxInstances
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
 	return decide.RetryPolicy{
--- a/instance/wire.go
+++ b/instance/wire.go
@@ -44,7 +44,7 @@
 		}
 	}
 	for _, r := range req.GetRates() {
-		w.Rates = append(w.Rates, decide.RateSaid{
+		w.Rates = append(w.Rates, decide.RateReport{
 			Server: r.GetServer(), Start: r.GetStart(), Limit: decide.RateLimit{Named: r.GetNamed(), PerSecond: r.GetPerSecond()},
 			Age: time.Duration(r.GetAgeMs()) * time.Millisecond, Heard: r.GetHeard(), Waiting: int(r.GetWaiting()), Expects: float64(r.GetExpects()), Lapsed: int(r.GetLapsed()),
 		})
--- a/relay/desk.go
+++ b/relay/desk.go
@@ -70,7 +70,7 @@
 func (d *desk) spread(wanted map[string]float64) map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Spread(wanted)
+	return d.scheduler.SpreadOverServers(wanted)
 }
 
 func (d *desk) loads() map[string]residency.Load {
--- a/relay/ratelimit.go
+++ b/relay/ratelimit.go
@@ -20,7 +20,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	change, changed := d.scheduler.Answered(time.Now(), server, sent, said.RateLimit, said.Sealed && status/100 == 2)
+	change, changed := d.scheduler.ObserveRateLimit(time.Now(), server, sent, said.RateLimit, said.Sealed && status/100 == 2)
 	if changed {
 		d.noteLimit(change, "answer")
 		d.want() // the others hear of it from the lease holder
@@ -31,7 +31,7 @@
 func (d *desk) ratesTold(sent time.Time, told decide.RateShares) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changes, decisions := d.scheduler.RatesTold(time.Now(), sent, told)
+	changes, decisions := d.scheduler.ApplyRateShares(time.Now(), sent, told)
 	for _, c := range changes {
 		d.noteLimit(c, "lease_holder")
 	}
@@ -51,22 +51,22 @@
 }
 
 // rates returns what this instance has to say of rate limits.
-func (d *desk) rates() []decide.RateSaid {
+func (d *desk) rates() []decide.RateReport {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Rates(time.Now())
+	return d.scheduler.RateReports(time.Now())
 }
 
 // paused returns how many listed servers asked for a pause that has not ended.
 func (d *desk) paused() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Paused(time.Now())
+	return d.scheduler.PausedServers(time.Now())
 }
 
 // rateLimited returns how many servers name a rate limit.
 func (d *desk) rateLimited() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.RateLimited()
+	return d.scheduler.RateLimitedServers()
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -143,7 +143,7 @@
 func (r *Relay) RatesTold(sent time.Time, told decide.RateShares) { r.desk.ratesTold(sent, told) }
 
 // Rates returns what this instance knows of servers' rate limits, and what it wants of them.
-func (r *Relay) Rates() []decide.RateSaid { return r.desk.rates() }
+func (r *Relay) Rates() []decide.RateReport { return r.desk.rates() }
 
 // RateLimited returns how many servers name a rate limit.
 func (r *Relay) RateLimited() int { return r.desk.rateLimited() }
--- a/residency/controller.go
+++ b/residency/controller.go
@@ -132,7 +132,7 @@
 	defer c.mu.Unlock()
 	c.demand.Said(now, w)
 	if now.Sub(c.loadsAt) >= summaryEvery {
-		c.loads, c.loadsAt = c.demand.Loads(c.o.Spread(c.demand.Wanted(now, decide.Horizon))), now
+		c.loads, c.loadsAt = c.demand.Loads(c.o.Spread(c.demand.Wanted(now, decide.ArrivalHorizon))), now
 		c.positions = c.demand.Positions()
 	}
 	s := Summary{Instances: c.demand.Instances(), Loads: c.loads.Others(w.Instance), Ordering: ordering, Version: c.demand.Version()}
--- a/residency/demand.go
+++ b/residency/demand.go
@@ -76,7 +76,7 @@
 	Version   int64                  // of the configuration in force there
 	Leaving   []topology.ServerStart // servers whose answers said that they are leaving
 
-	Rates []decide.RateSaid // of servers that name a rate limit
+	Rates []decide.RateReport // of servers that name a rate limit
 
 	HeldDigest uint64 // of what it knows that servers hold beyond their entries
 	Candidates uint64 // digest of the candidates that it knows
--- a/residency/ratelimit.go
+++ b/residency/ratelimit.go
@@ -58,7 +58,7 @@
 func newRateShares() *rateShares { return &rateShares{servers: map[string]*rateShare{}} }
 
 // said takes in what an instance says of rate limits, and returns what it is told.
-func (r *rateShares) said(now time.Time, instance string, said []decide.RateSaid) []decide.RateShare {
+func (r *rateShares) said(now time.Time, instance string, said []decide.RateReport) []decide.RateShare {
 	wants := map[string]rateWant{}
 	for _, x := range said {
 		r.learn(now, &x)
@@ -96,7 +96,7 @@
 // told counts where nothing else is known, as after the lease has passed on: an
 // instance that keeps a limit of which it gets no share would never send the server
 // anything again, and never hear that the limit has ended.
-func (r *rateShares) learn(now time.Time, x *decide.RateSaid) {
+func (r *rateShares) learn(now time.Time, x *decide.RateReport) {
 	s := r.servers[x.Server]
 	shown := now.Add(-x.Age)
 	if s == nil || s.start != x.Start && shown.After(s.shown) {
--- a/residency/ratelimit_test.go
+++ b/residency/ratelimit_test.go
@@ -138,7 +138,7 @@
 	if w.holder == nil || !w.reached(i) {
 		return
 	}
-	sent, said := w.now, w.schedulers[i].Rates(w.now)
+	sent, said := w.now, w.schedulers[i].RateReports(w.now)
 	w.after(w.delay(), func() {
 		if w.holder == nil {
 			return
@@ -147,7 +147,7 @@
 			Shares: w.holder.said(w.now, fmt.Sprint("i", i), said), Position: i, Instances: len(w.schedulers),
 		}
 		w.after(w.delay(), func() {
-			_, decisions := w.schedulers[i].RatesTold(w.now, sent, told)
+			_, decisions := w.schedulers[i].ApplyRateShares(w.now, sent, told)
 			w.carryOut(i, decisions)
 		})
 	})
@@ -167,7 +167,7 @@
 				if server == "s" {
 					limit = w.limit()
 				}
-				w.schedulers[i].Answered(w.now, server, sent, limit, true)
+				w.schedulers[i].ObserveRateLimit(w.now, server, sent, limit, true)
 				if _, ok := w.told[i]; !ok && limit.Named {
 					w.told[i] = w.now
 				}
@@ -394,7 +394,7 @@
 func TestWordsThatCrossGrantNoMore(t *testing.T) {
 	r := newRateShares()
 	limit := decide.RateLimit{Named: true, PerSecond: 2}
-	said := []decide.RateSaid{{Server: "s", Limit: limit, Heard: true, Waiting: 1}}
+	said := []decide.RateReport{{Server: "s", Limit: limit, Heard: true, Waiting: 1}}
 	at := func(ms int) time.Time { return rationStart.Add(time.Duration(ms) * time.Millisecond) }
 	r.said(at(0), "a", said)
 	require.Equal(t, 1, r.said(at(600), "a", said)[0].Granted)
@@ -406,8 +406,8 @@
 func TestALimitEndsWithTheServersStart(t *testing.T) {
 	r := newRateShares()
 	limit := decide.RateLimit{Named: true, PerSecond: 2}
-	r.said(rationStart, "a", []decide.RateSaid{{Server: "s", Start: "1", Limit: limit, Heard: true}})
-	told := r.said(rationStart.Add(time.Second), "b", []decide.RateSaid{{Server: "s", Start: "2", Heard: true}})
+	r.said(rationStart, "a", []decide.RateReport{{Server: "s", Start: "1", Limit: limit, Heard: true}})
+	told := r.said(rationStart.Add(time.Second), "b", []decide.RateReport{{Server: "s", Start: "2", Heard: true}})
 	require.Equal(t, "2", told[0].Start)
 	require.False(t, told[0].Limit.Named)
 }
@@ -417,7 +417,7 @@
 // of it nobody would ever ask the server again, and hear that the limit has ended.
 func TestALimitThatInstancesWereOnlyToldOfIsSharedOut(t *testing.T) {
 	r := newRateShares()
-	said := []decide.RateSaid{{Server: "s", Limit: decide.RateLimit{Named: true, PerSecond: 2}, Age: time.Minute, Waiting: 1}}
+	said := []decide.RateReport{{Server: "s", Limit: decide.RateLimit{Named: true, PerSecond: 2}, Age: time.Minute, Waiting: 1}}
 	granted := 0
 	for n := range 10 {
 		for _, share := range r.said(rationStart.Add(time.Duration(n)*rationWords), "a", said) {
@@ -431,9 +431,9 @@
 func TestWhatInstancesWereToldNeverGoesBeforeAnAnswer(t *testing.T) {
 	r := newRateShares()
 	limit := decide.RateLimit{Named: true, PerSecond: 2}
-	r.said(rationStart, "a", []decide.RateSaid{{Server: "s", Limit: limit, Heard: true}})
+	r.said(rationStart, "a", []decide.RateReport{{Server: "s", Limit: limit, Heard: true}})
 	later := rationStart.Add(time.Second)
-	r.said(later, "a", []decide.RateSaid{{Server: "s", Heard: true}})
-	told := r.said(later.Add(time.Millisecond), "b", []decide.RateSaid{{Server: "s", Limit: limit}})
+	r.said(later, "a", []decide.RateReport{{Server: "s", Heard: true}})
+	told := r.said(later.Add(time.Millisecond), "b", []decide.RateReport{{Server: "s", Limit: limit}})
 	require.False(t, told[0].Limit.Named)
 }
