--- a/decide/admit.go
+++ b/decide/admit.go
@@ -45,7 +45,7 @@
 // prepare estimates the request's service time and sets its queue key.
 func (s *Scheduler) prepare(now time.Time, req *requestState) {
 	t := req.target
-	req.serviceTime, req.safeServiceTime = t.expected(now, req, 0), t.expected(now, req, safeDeviations)
+	req.serviceTime, req.safeServiceTime = t.expectedTime(now, req, 0), t.expectedTime(now, req, safeDeviations)
 	if t.estimateStale(now) {
 		req.serviceTime, req.safeServiceTime = 0, 0
 	}
@@ -64,7 +64,7 @@
 		return true
 	}
 	p := t.replicas[0].server.pool
-	return p.total == 0 && now.Sub(p.service.last) > maxEstimateAge
+	return p.totalInFlight == 0 && now.Sub(p.service.updatedAt) > maxEstimateAge
 }
 
 // enqueue queues the request, or refuses it if it would miss its deadline. In bursts and
@@ -98,7 +98,7 @@
 // room.
 func (s *Scheduler) evictQueued(now time.Time, req *requestState) bool {
 	var worst *targetState
-	for _, t := range s.fleet.ordered {
+	for _, t := range s.fleet.sortedTargets {
 		if t.queue.len() > 0 && (worst == nil || queuesMoreByWeight(t, worst)) {
 			worst = t
 		}
@@ -145,7 +145,7 @@
 		srv := t.replicas[i].server
 		wanting, weights := float64(extra)/float64(n), t.partner.weight
 		counted := t.partner
-		for _, r := range srv.residents {
+		for _, r := range srv.servedTargets {
 			other := r.target
 			switch {
 			case other.queue.len() == 0:
@@ -164,7 +164,7 @@
 // slotInterval returns the seconds between two slots that free at the server for this
 // instance, from its recent holding time of a slot and the number of its requests there.
 func (s *serverState) slotInterval() float64 {
-	return s.pool.holdTime() * s.slowness() / float64(max(s.own, 1))
+	return s.pool.holdTime() * s.relativeSlowdown() / float64(max(s.own, 1))
 }
 
 // sendInterval returns the seconds between two requests that this instance may send to the
@@ -174,7 +174,7 @@
 	if !srv.rateLimit.Named {
 		return srv.slotInterval()
 	}
-	return max(srv.slotInterval(), min(1/srv.limitRate(now, &s.rationing, extra), maxSendInterval))
+	return max(srv.slotInterval(), min(1/srv.allowedRate(now, &s.rationing, extra), maxSendInterval))
 }
 
 // minSendInterval returns the shortest send interval of the target's servers.
--- a/decide/engine.go
+++ b/decide/engine.go
@@ -144,7 +144,7 @@
 // instance's own exactly, the others' from the newest report, which gives way to their
 // recent mean as it ages.
 func (s *serverState) estimateUnread(now time.Time) float64 {
-	return s.addOthers(now, s.unread, s.report.UnreadTokens-s.unreadThen, s.othersUnread, unreadHalfLife)
+	return s.addOthers(now, s.unread, s.report.UnreadTokens-s.unreadAtReport, s.othersUnread, unreadHalfLife)
 }
 
 // timeToFirstToken returns the seconds until the request's first token would come from the
--- a/decide/filter.go
+++ b/decide/filter.go
@@ -56,7 +56,7 @@
 type reachabilityFilter struct{}
 
 func (reachabilityFilter) keep(s *Scheduler, now time.Time, _ *requestState, c *candidate) bool {
-	return s.allowCutOff || !now.Before(c.server.domain.cutTo)
+	return s.allowCutOff || !now.Before(c.server.domain.cutOffUntil)
 }
 
 // residencyFilter drops replicas that recently answered that the target isn't resident,
@@ -64,10 +64,10 @@
 type residencyFilter struct{}
 
 func (residencyFilter) keep(_ *Scheduler, now time.Time, req *requestState, c *candidate) bool {
-	if req.target.Model != "" && c.server.empty(now) {
+	if req.target.Model != "" && c.server.presumedEmpty(now) {
 		return false
 	}
-	return !now.Before(c.replica.unreadyTo)
+	return !now.Before(c.replica.unreadyUntil)
 }
 
 // failedServerFilter drops the server where the request's last attempt failed.
@@ -90,7 +90,7 @@
 	case fillLow:
 		limit = int(math.Ceil(float64(c.server.Slots) * s.localFillLimit))
 	case fillServerQueue:
-		limit += c.server.queueAllowance(c.server.pool.standing(s.fleet.everyone, req.target.partner), req.Goal)
+		limit += c.server.queueAllowance(c.server.pool.shareStatus(s.fleet.partnerList, req.target.partner), req.Goal)
 	}
 	return c.server.hasRoom(now, limit)
 }
@@ -138,5 +138,5 @@
 		serviceTime = req.safeServiceTime + c.slotWait(req)
 	}
 	timeLeft := req.timeLeft(now)
-	return timeLeft > 0 && serviceTime*max(c.server.slowness(), 1) <= timeLeft
+	return timeLeft > 0 && serviceTime*max(c.server.relativeSlowdown(), 1) <= timeLeft
 }
--- a/decide/flight.go
+++ b/decide/flight.go
@@ -27,7 +27,7 @@
 // wouldMissDeadline reports whether the request would probably miss its deadline, or the
 // deadline of its first token, if it first waited for the given seconds.
 func (req *requestState) wouldMissDeadline(now time.Time, wait float64) bool {
-	if !req.FirstTokenDeadline.IsZero() && req.deliveredTokens == 0 && req.FirstTokenDeadline.Sub(now).Seconds() < wait+req.target.firstToken(now, req) {
+	if !req.FirstTokenDeadline.IsZero() && req.deliveredTokens == 0 && req.FirstTokenDeadline.Sub(now).Seconds() < wait+req.target.expectedFirstToken(now, req) {
 		return true
 	}
 	return req.timeLeft(now) < wait+req.safeServiceTime
@@ -38,7 +38,7 @@
 // admits another prompt. Queued requests are dispatched when a server's backlog falls to
 // that limit.
 func (req *requestState) wouldMissGoal(now time.Time) bool {
-	return req.Goal > 0 && now.Sub(req.Arrived).Seconds()+req.target.readAhead(req)+req.target.firstToken(now, req) > req.Goal.Seconds()
+	return req.Goal > 0 && now.Sub(req.Arrived).Seconds()+req.target.expectedReadWait(req)+req.target.expectedFirstToken(now, req) > req.Goal.Seconds()
 }
 
 // timeLeft returns the seconds to the deadline.
--- a/decide/load.go
+++ b/decide/load.go
@@ -47,8 +47,8 @@
 // instances in the server's failure domain. Without it all instances that read the same
 // stale report could send to the same server at once.
 func (s *serverState) setFairShare(instances int) {
-	s.part = max(1, float64(s.Slots)*(1+serverQueueFraction)/float64(max(instances, 1)))
-	s.window = max(s.window, s.part)
+	s.slotShare = max(1, float64(s.Slots)*(1+serverQueueFraction)/float64(max(instances, 1)))
+	s.window = max(s.window, s.slotShare)
 }
 
 // updateLoad applies a load report. The window, the number of requests that this instance
@@ -60,18 +60,18 @@
 	if at.Before(s.reportedAt) {
 		return
 	}
-	s.report, s.reportedAt, s.ownThen, s.unreadThen = load, at, s.own, s.unread
+	s.report, s.reportedAt, s.ownAtReport, s.unreadAtReport = load, at, s.own, s.unread
 	s.othersUnread += othersSmoothing * (float64(max(load.UnreadTokens-s.unread, 0)) - s.othersUnread)
-	s.others += othersSmoothing * (float64(max(load.Running+load.Waiting-s.own, 0)) - s.others)
+	s.othersInFlight += othersSmoothing * (float64(max(load.Running+load.Waiting-s.own, 0)) - s.othersInFlight)
 	if load.Slots > 0 {
 		s.Slots = load.Slots
 	}
 	free := float64(s.Slots - load.Running - load.Waiting)
 	switch {
 	case free > 0:
-		s.window = max(s.window, min(float64(s.own)+1+free*s.part/float64(s.Slots), float64(s.requestLimit())))
+		s.window = max(s.window, min(float64(s.own)+1+free*s.slotShare/float64(s.Slots), float64(s.requestLimit())))
 	case load.Waiting > s.requestLimit()-s.Slots:
-		s.window = max(s.part, min(s.window, float64(s.own))*windowDecrease)
+		s.window = max(s.slotShare, min(s.window, float64(s.own))*windowDecrease)
 	}
 }
 
@@ -88,7 +88,7 @@
 // the newest report. As the report ages, it gives way to the others' recent mean and not
 // to zero: a silent server isn't an empty one.
 func (s *serverState) load(now time.Time) float64 {
-	return s.addOthers(now, s.own, s.report.Running+s.report.Waiting-s.ownThen, s.others, reportHalfLife)
+	return s.addOthers(now, s.own, s.report.Running+s.report.Waiting-s.ownAtReport, s.othersInFlight, reportHalfLife)
 }
 
 // addOthers adds the other instances' amount at the server to own: the reported amount,
@@ -116,14 +116,14 @@
 
 // queueAllowance returns the number of requests that may wait at the server for a partner
 // of that share to add a request with that first-token goal.
-func (s *serverState) queueAllowance(share standing, goal time.Duration) int {
+func (s *serverState) queueAllowance(share shareStatus, goal time.Duration) int {
 	if s.noQueue {
 		return s.fastServerQueue(goal)
 	}
 	switch share {
-	case under:
+	case underShare:
 		return int(math.Ceil(float64(s.Slots) * underShareQueueFraction))
-	case over:
+	case overShare:
 		return (s.requestLimit() - s.Slots) / 2
 	}
 	return s.requestLimit() - s.Slots
@@ -142,7 +142,7 @@
 	if !s.pool.held.warm() {
 		return s.Slots
 	}
-	return min(int(goalQueueFraction*goal.Seconds()/max(s.pool.held.mean, leastHeld)*float64(s.Slots)), maxFastQueueRatio*s.Slots)
+	return min(int(goalQueueFraction*goal.Seconds()/max(s.pool.held.mean, minHoldTime)*float64(s.Slots)), maxFastQueueRatio*s.Slots)
 }
 
 // slotsFreeFast reports whether the server's slots free faster than load reports arrive.
@@ -151,20 +151,20 @@
 func (s *serverState) slotsFreeFast() bool {
 	held := s.pool.held
 	if held.n < minHoldSamples {
-		return len(s.residents) > 0 && s.residents[0].target.Service
+		return len(s.servedTargets) > 0 && s.servedTargets[0].target.Service
 	}
-	return held.mean+held.dev < Horizon.Seconds()
+	return held.mean+held.dev < ArrivalHorizon.Seconds()
 }
 
 // hasRoom reports whether the instance may send one more request to the server, which then
 // has at most limit requests.
 func (s *serverState) hasRoom(now time.Time, limit int) bool {
-	if s.quota.limited && now.Sub(s.quota.at) < quotaFor {
-		return s.quota.left > 0
+	if s.quota.limited && now.Sub(s.quota.lastReportAt) < quotaTTL {
+		return s.quota.remaining > 0
 	}
 	window := s.window
 	if now.Sub(s.reportedAt) > maxReportAge {
-		window = s.part
+		window = s.slotShare
 	}
 	if float64(s.own)+1 > math.Floor(window) {
 		return false
--- a/decide/pump.go
+++ b/decide/pump.go
@@ -14,7 +14,7 @@
 	if srv.rateLimit.Named {
 		s.fillLevel = fillRateLimited
 	}
-	for s.queued > 0 && srv.hasRoom(now, srv.Slots+srv.queueAllowance(under, assumedGoal)) {
+	for s.queued > 0 && srv.hasRoom(now, srv.Slots+srv.queueAllowance(underShare, assumedGoal)) {
 		req, c := s.nextForServer(now, srv)
 		if req == nil {
 			return
@@ -30,7 +30,7 @@
 	var best *requestState
 	var at candidate
 	c := newCandidate(now, srv)
-	for _, r := range srv.residents {
+	for _, r := range srv.servedTargets {
 		t := r.target
 		if t.queue.len() == 0 || best != nil && !s.mayPrecede(srv.pool, t, best) {
 			continue
@@ -49,13 +49,13 @@
 
 // mayPrecede reports whether a request for the target could be served before req.
 func (s *Scheduler) mayPrecede(p *poolState, t *targetState, req *requestState) bool {
-	return t.partner == req.target.partner || p.share(t.partner) <= p.share(req.target.partner)
+	return t.partner == req.target.partner || p.weightedShare(t.partner) <= p.weightedShare(req.target.partner)
 }
 
 // precedes reports whether a is served before b: by the partners' shares of the pool, then
 // by queueKey.
 func (s *Scheduler) precedes(p *poolState, a, b *requestState) bool {
-	if x, y := p.share(a.target.partner), p.share(b.target.partner); x != y {
+	if x, y := p.weightedShare(a.target.partner), p.weightedShare(b.target.partner); x != y {
 		return x < y
 	}
 	return a.queueKey < b.queueKey
@@ -64,20 +64,20 @@
 // pumpAll refuses queued requests that would miss their deadline, then starts the first of
 // each queue in turn for as long as any can start.
 func (s *Scheduler) pumpAll(now time.Time) {
-	n := len(s.fleet.ordered)
+	n := len(s.fleet.sortedTargets)
 	if n == 0 {
 		return
 	}
 	s.pumpOffset++
 	for i := range n {
-		if t := s.fleet.ordered[(s.pumpOffset+i)%n]; t.queue.len() > 0 {
+		if t := s.fleet.sortedTargets[(s.pumpOffset+i)%n]; t.queue.len() > 0 {
 			s.expireQueued(now, t)
 		}
 	}
 	for progress := true; progress && s.queued > 0; {
 		progress = false
 		for i := range n {
-			if t := s.fleet.ordered[(s.pumpOffset+i)%n]; t.queue.len() > 0 && s.startNext(now, t) {
+			if t := s.fleet.sortedTargets[(s.pumpOffset+i)%n]; t.queue.len() > 0 && s.startNext(now, t) {
 				progress = true
 			}
 		}
--- a/decide/scheduler.go
+++ b/decide/scheduler.go
@@ -52,10 +52,10 @@
 // refused.
 func (s *Scheduler) SetTable(now time.Time, t *Table) []Decision {
 	s.out = s.out[:0]
-	for _, gone := range s.fleet.set(now, t) {
+	for _, gone := range s.fleet.applyTable(now, t) {
 		s.refuseAll(gone, ReasonUnknownTarget, 0)
 	}
-	s.rateLimitActive = s.RateLimited() > 0
+	s.rateLimitActive = s.RateLimitedServers() > 0
 	s.localFillLimit = t.LocalFillLimit
 	if s.localFillLimit <= 0 {
 		s.localFillLimit = lowFillFraction
@@ -66,7 +66,7 @@
 		s.instancesExceedSlots = s.instancesExceedSlots || srv.FailureDomain == t.OwnDomain && t.Entries[t.OwnDomain] > srv.Slots
 	}
 	for i := range t.Servers { // all instances may have requests queued for a target that a server newly serves
-		if srv := s.fleet.servers[t.Servers[i].ID]; len(srv.residents) > srv.quota.residents {
+		if srv := s.fleet.servers[t.Servers[i].ID]; len(srv.servedTargets) > srv.quota.servedTargets {
 			srv.drawQuota(now, s.rng)
 		}
 	}
@@ -84,7 +84,7 @@
 	case req.target == nil:
 		s.refuse(req, ReasonUnknownTarget, 0)
 	default:
-		req.target.arrivals.add(now)
+		req.target.arrivalRate.add(now)
 		s.setDeadline(req)
 		s.route(now, req)
 	}
@@ -131,9 +131,9 @@
 	}
 	if o.Complete && req.dispatchedTo != nil && req.dispatchedTo.ID == server {
 		req.target.learn(now, req, o)
-		req.dispatchedTo.served()
-		req.dispatchedTo.domain.answered()
-		req.dispatchedTo.errors.add(0)
+		req.dispatchedTo.recordSuccess()
+		req.dispatchedTo.domain.recordAnswer()
+		req.dispatchedTo.errorRate.add(0)
 		req.dispatchedTo.pool.budget.deposit()
 	}
 	s.finish(now, req, o.Complete)
@@ -154,7 +154,7 @@
 	s.out = s.out[:0]
 	if srv := s.fleet.servers[server]; srv != nil {
 		srv.updateLoad(now, load, age)
-		srv.contended(now, load.Contending, s.rng)
+		srv.updateQuota(now, load.Contending, s.rng)
 		s.pumpServer(now, srv)
 	}
 	return s.out
@@ -181,7 +181,7 @@
 func (s *Scheduler) Drain(now time.Time) []Decision {
 	s.out = s.out[:0]
 	s.draining = true
-	for _, t := range s.fleet.ordered {
+	for _, t := range s.fleet.sortedTargets {
 		s.refuseAll(t, ReasonShuttingDown, shutdownRetry)
 	}
 	return s.out
@@ -234,7 +234,7 @@
 		return
 	}
 	req.failedServer = nil
-	if availableIn := req.target.backIn(now); !waitable && req.wouldMissDeadline(now, availableIn) {
+	if availableIn := req.target.untilAvailable(now); !waitable && req.wouldMissDeadline(now, availableIn) {
 		s.refuse(req, ReasonNoReplica, max(seconds(availableIn), minRetryAfter))
 		return
 	}
@@ -246,13 +246,13 @@
 	req.dispatchedTo, req.dispatchedAt = srv, now
 	req.prefilledAlone, req.firstTokenSeen = c.unread <= maxUnreadAlone && req.deliveredTokens == 0, false
 	srv.unread += req.PromptTokens
-	srv.quota.left--
-	granted := srv.rateLimit.spend(now)
+	srv.quota.remaining--
+	granted := srv.rateLimit.consume(now)
 	req.queuedAtServer = c.load+1 > float64(srv.Slots)
 	req.attempts++
 	req.target.inFlight++
 	srv.own++
-	srv.pool.count(req.target.partner, 1)
+	srv.pool.addInFlight(req.target.partner, 1)
 	if req.Suspect {
 		srv.suspects++
 	}
@@ -294,7 +294,7 @@
 	if !req.firstTokenSeen {
 		srv.unread -= req.PromptTokens
 	}
-	srv.pool.count(req.target.partner, -1)
+	srv.pool.addInFlight(req.target.partner, -1)
 	if req.Suspect {
 		srv.suspects--
 	}
@@ -306,7 +306,7 @@
 	if srv == nil {
 		s.removeQueued(req)
 	} else if !complete {
-		req.target.learnLate(now, req)
+		req.target.learnAbandoned(now, req)
 	}
 	s.release(now, req)
 	s.forget(req)
--- a/decide/score.go
+++ b/decide/score.go
@@ -33,14 +33,14 @@
 
 func (serviceTimeScorer) score(_ *Scheduler, _ time.Time, req *requestState, c *candidate) float64 {
 	fill := min(c.load/float64(c.server.Slots), 1)
-	return serviceTimeOrDefault(req) * c.server.slowness() * (1 + fullBatchSlowdown*fill)
+	return serviceTimeOrDefault(req) * c.server.relativeSlowdown() * (1 + fullBatchSlowdown*fill)
 }
 
 // slotWaitScorer adds the time until the server has a free slot.
 type slotWaitScorer struct{}
 
 func (slotWaitScorer) score(_ *Scheduler, _ time.Time, req *requestState, c *candidate) float64 {
-	return c.slotWait(req) * c.server.slowness()
+	return c.slotWait(req) * c.server.relativeSlowdown()
 }
 
 // slotWait returns the seconds until a server of normal speed has a free slot.
@@ -69,7 +69,7 @@
 	if req.Prefix == 0 || c.server != s.prefixServer || c.load > prefixMaxLoadRatio*s.meanLoad+1 {
 		return 0
 	}
-	return -prefixSavings * req.target.times(now).first.mean
+	return -prefixSavings * req.target.currentTimes(now).firstToken.mean
 }
 
 // failureScorer adds the cost of the server's recent failure rate. A server that fails
@@ -78,7 +78,7 @@
 type failureScorer struct{}
 
 func (failureScorer) score(_ *Scheduler, _ time.Time, _ *requestState, c *candidate) float64 {
-	return failureCost * c.server.errors.mean
+	return failureCost * c.server.errorRate.mean
 }
 
 func serviceTimeOrDefault(req *requestState) float64 {
--- a/decide/turn.go
+++ b/decide/turn.go
@@ -23,15 +23,15 @@
 func (s *Scheduler) scheduleTurns(l *limitState) {
 	r := &s.rationing
 	every := time.Duration(0)
-	if rate := l.PerSecond * unsharedFraction / r.count(); rate > 0 {
+	if rate := l.PerSecond * unsharedFraction / r.instanceCount(); rate > 0 {
 		every = time.Duration(min(float64(time.Second)/rate, float64(math.MaxInt64)/2))
 	}
-	from := r.toldAt.Add(sharedFor)
+	from := r.updatedAt.Add(sharesTTL)
 	position := r.position
-	if r.toldAt.IsZero() {
-		from, position = l.since, s.rationing.randomPosition(s.rng)
+	if r.updatedAt.IsZero() {
+		from, position = l.namedSince, s.rationing.randomPosition(s.rng)
 	}
-	l.turnsFrom, l.turnEvery = from.Add(time.Duration(position*float64(every))), every
+	l.turnsStart, l.turnInterval = from.Add(time.Duration(position*float64(every))), every
 }
 
 // randomPosition returns the position of an instance that wasn't told one. It is drawn
@@ -46,10 +46,10 @@
 // inUnusedTurn reports whether a turn is open in which no request was sent yet. Turns move
 // when the limit changes, so two requests are at least half of the turn interval apart.
 func (l *limitState) inUnusedTurn(now time.Time) bool {
-	since := now.Sub(l.turnsFrom)
-	if l.turnEvery <= 0 || since < 0 || now.Sub(l.sentAt) < l.turnEvery/2 {
+	since := now.Sub(l.turnsStart)
+	if l.turnInterval <= 0 || since < 0 || now.Sub(l.lastSentAt) < l.turnInterval/2 {
 		return false
 	}
-	into := since % l.turnEvery
-	return into < turnWindow && l.sentAt.Before(now.Add(-into))
+	into := since % l.turnInterval
+	return into < turnWindow && l.lastSentAt.Before(now.Add(-into))
 }
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -290,7 +290,7 @@
 	n := i.node.Load()
 	instances := v.Instances()
 	if !v.InstancesKnown {
-		instances = decide.MostInstances
+		instances = decide.MaxInstances
 	}
 	share := n.RetryReserve / float64(max(instances, 1))
 	return decide.RetryPolicy{
--- a/instance/wire.go
+++ b/instance/wire.go
@@ -46,7 +46,7 @@
 		}
 	}
 	for _, r := range req.GetRates() {
-		report.Rates = append(report.Rates, decide.RateSaid{
+		report.Rates = append(report.Rates, decide.RateReport{
 			Server: r.GetServer(), Start: r.GetStart(), Limit: decide.RateLimit{Named: r.GetNamed(), PerSecond: r.GetPerSecond()},
 			Age: time.Duration(r.GetAgeMs()) * time.Millisecond, Heard: r.GetHeard(), Waiting: int(r.GetWaiting()), Expects: float64(r.GetExpects()), Lapsed: int(r.GetLapsed()),
 		})
--- a/relay/desk.go
+++ b/relay/desk.go
@@ -69,7 +69,7 @@
 func (d *dispatcher) spread(demand map[string]float64) map[string]float64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Spread(demand)
+	return d.scheduler.SpreadOverServers(demand)
 }
 
 func (d *dispatcher) loads() map[string]residency.Load {
--- a/relay/ratelimit.go
+++ b/relay/ratelimit.go
@@ -20,7 +20,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	change, changed := d.scheduler.Answered(time.Now(), server, sent, headers.RateLimit, headers.Sealed && status/100 == 2)
+	change, changed := d.scheduler.ObserveRateLimit(time.Now(), server, sent, headers.RateLimit, headers.Sealed && status/100 == 2)
 	if changed {
 		d.logLimitChange(change, "answer")
 		d.signalSync() // the lease holder tells the other instances
@@ -32,7 +32,7 @@
 func (d *dispatcher) applyRateShares(sent time.Time, shares decide.RateShares) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	changes, decisions := d.scheduler.RatesTold(time.Now(), sent, shares)
+	changes, decisions := d.scheduler.ApplyRateShares(time.Now(), sent, shares)
 	for _, c := range changes {
 		d.logLimitChange(c, "lease_holder")
 	}
@@ -52,22 +52,22 @@
 }
 
 // rates returns this instance's report on rate limits.
-func (d *dispatcher) rates() []decide.RateSaid {
+func (d *dispatcher) rates() []decide.RateReport {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Rates(time.Now())
+	return d.scheduler.RateReports(time.Now())
 }
 
 // pausedServers returns how many listed servers asked for a pause that has not ended.
 func (d *dispatcher) pausedServers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.Paused(time.Now())
+	return d.scheduler.PausedServers(time.Now())
 }
 
 // rateLimitedServers returns how many servers name a rate limit.
 func (d *dispatcher) rateLimitedServers() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.scheduler.RateLimited()
+	return d.scheduler.RateLimitedServers()
 }
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -152,7 +152,7 @@
 
 // Rates returns this instance's report to the lease holder on servers' rate
 // limits: the known limits, and how many requests it wants to send to each server.
-func (r *Relay) Rates() []decide.RateSaid { return r.dispatcher.rates() }
+func (r *Relay) Rates() []decide.RateReport { return r.dispatcher.rates() }
 
 // RateLimitedServers returns how many servers name a rate limit.
 func (r *Relay) RateLimitedServers() int { return r.dispatcher.rateLimitedServers() }
