--- a/residency/server.go
+++ b/residency/server.go
@@ -8,221 +8,221 @@
 )
 
 const (
-	// orderTimeout bounds one order's call, and one question for a server's state.
+	// orderTimeout bounds the call for one order or one state query.
 	orderTimeout = 600 * time.Millisecond
-	// lateOrder is how long after it was sent an order without an answer may yet
-	// be carried out.
-	lateOrder = 15 * time.Second
-	// loadPatience is how many times as long as it usually takes a load is
-	// waited for before the server is asked: loads slow each other down.
-	loadPatience = 4
-	// unloadPatience is how long an unload is waited for: it waits for the runs
-	// of its model.
-	unloadPatience = 8 * time.Second
-	// stateLag is how old what a server says of itself may be: it is asked so
-	// long after its last order.
+	// lateOrderWindow is how long after sending an unanswered order the server may
+	// still execute it.
+	lateOrderWindow = 15 * time.Second
+	// loadTimeoutFactor is how long to wait for a load before the server is queried, as
+	// a multiple of its usual time: loads slow each other down.
+	loadTimeoutFactor = 4
+	// unloadTimeout is how long to wait for an unload, which starts only after the
+	// running requests for its model have ended.
+	unloadTimeout = 8 * time.Second
+	// stateLag is the maximum age of the state that a server reports; a server is
+	// queried that long after its last order.
 	stateLag = 400 * time.Millisecond
-	// askBusy is the time between two questions to a server whether an order for
-	// a model is carried out.
-	askBusy = 500 * time.Millisecond
-	// entryLag is how long a server's entry may lag behind the orders that it
+	// stateQueryInterval is the time between two queries to a server on whether an
+	// order for a model has been executed.
+	stateQueryInterval = 500 * time.Millisecond
+	// entryLag is how long a server's entry may lag behind the orders that the server
 	// accepted: two heartbeats and a read.
 	entryLag = 4 * time.Second
 )
 
-// server is what the lease holder knows of a server.
+// server is the lease holder's knowledge of a server.
 type server struct {
-	topology.Server                      // as its entry says; its models as the server itself said where that is newer
+	topology.Server                      // from its entry, with the models from the server's own state report if that is newer
 	entry           topology.Server      // the newest entry
-	entryNew        bool                 // its models haven't been taken over yet
-	saidAt          time.Time            // when the server last said its state itself
-	known           bool                 // sequence is the server's own word, or counted from it
-	sequence        int64                // orders that it accepted
-	done            []change             // accepted adapter orders that aren't in its models yet
-	waitsFor        *Order               // an order for a model that is under way
-	shownBefore     bool                 // an entry has shown what it was like before that order, or still does
-	patience        time.Time            // until when it is waited for
-	askAt           time.Time            // when to ask whether it is carried out
-	ghosts          []ghost              // orders that may yet be carried out
-	retiring        *retirement          // a model that is about to be unloaded
-	dropped         []drop               // models that instances must not use here any more
-	loaded          map[string]time.Time // when models were seen first, by name
-	sending         bool                 // an order or a question is on its way
-	pending         *Order               // the order on its way
-	quiet           time.Time            // neither before it
+	entryPending    bool                 // the entry's models have not been adopted yet
+	stateAt         time.Time            // when the server last reported its state
+	stateKnown      bool                 // sequence was reported by the server, or counted from a reported one
+	sequence        int64                // number of orders that the server accepted
+	adapterChanges  []adapterChange      // accepted adapter orders that its models don't include yet
+	executing       *Order               // an accepted order for a model that is still being executed
+	priorStateSeen  bool                 // an entry has shown, or still shows, the models from before that order
+	timeout         time.Time            // when to stop waiting for that order
+	nextQueryAt     time.Time            // when to query whether that order has been executed
+	unanswered      []unansweredOrder    // unanswered orders that the server may still execute
+	draining        *drainingModel       // a model that drains before it is unloaded
+	dropped         []droppedModel       // models that instances must not use on the server any more
+	firstSeen       map[string]time.Time // when each model was first seen, by name; zero: before this lease
+	callInFlight    bool                 // an order or a state query is in flight
+	orderInFlight   *Order               // the order in flight
+	idleUntil       time.Time            // no order or state query before that time
 }
 
-// retirement is a model that instances have been told not to use any more at a
-// server, and that is unloaded once they have heard of it.
-type retirement struct {
-	model string
-	heir  string // the model that the place is for
-	at    time.Time
-	known time.Time // when all instances had been told
+// drainingModel is a model that instances have been told not to use on a server any
+// more. It is unloaded once all instances know.
+type drainingModel struct {
+	model       string
+	successor   string // the model that replaces it
+	startedAt   time.Time
+	announcedAt time.Time // when all instances had been told
 }
 
-// drop is a model that instances must not use at a server until a time.
-type drop struct {
+// droppedModel is a model that instances must not use on a server until the given time.
+type droppedModel struct {
 	model string
 	until time.Time
 }
 
-// change is an adapter order that the server accepted.
-type change struct {
-	order Order
-	at    time.Time
+// adapterChange is an adapter order that the server accepted.
+type adapterChange struct {
+	order      Order
+	acceptedAt time.Time
 }
 
-// ghost is an order without an answer.
-type ghost struct {
+// unansweredOrder is an order that the server may execute until the given time.
+type unansweredOrder struct {
 	order Order
 	until time.Time
 }
 
-// update takes in the server's entry, which may be the same as before.
+// update processes the server's entry, which may be unchanged.
 func (s *server) update(now time.Time, e topology.Server) {
 	if !e.Born.Equal(s.entry.Born) {
-		s.known, s.done, s.waitsFor = false, nil, nil // it started again, and knows nothing of before
+		s.stateKnown, s.adapterChanges, s.executing = false, nil, nil // the server restarted, which voids earlier orders
 	}
 	if !e.Equal(&s.entry) {
-		s.entry, s.entryNew = e, true
-		if w := s.waitsFor; w != nil && e.Holds(w.Model, "") == w.Unload {
-			s.shownBefore = true
+		s.entry, s.entryPending = e, true
+		if o := s.executing; o != nil && e.Holds(o.Model, "") == o.Unload {
+			s.priorStateSeen = true
 		}
 		models := s.Models
 		s.Server = e
 		s.Models = models
 	}
-	if s.entryNew && s.believes(now, &e) {
-		s.Models, s.entryNew = e.Models, false
+	if s.entryPending && s.entryIsCurrent(now, &e) {
+		s.Models, s.entryPending = e.Models, false
 	}
-	s.settle(now)
+	s.reconcile(now)
 }
 
-// believes says whether an entry's models are newer than what the server said
-// itself: that was long enough ago, or the entry shows an order that came after.
-// It shows that only where an entry has shown the time before the order: one that
-// lacks a model may be from before the model was loaded, and its place would be
-// filled while the server still unloads it.
-func (s *server) believes(now time.Time, e *topology.Server) bool {
-	w := s.waitsFor
-	return now.Sub(s.saidAt) > entryLag || w != nil && s.shownBefore && e.Holds(w.Model, "") != w.Unload
+// entryIsCurrent reports whether an entry's models are newer than the server's own
+// state report: that report is older than entryLag, or the entry shows the effect of
+// the order that is being executed. The effect counts only if an entry has shown the
+// state before the order: an entry without a model may date from before the model was
+// loaded, and its memory would be reused while the server still unloads it.
+func (s *server) entryIsCurrent(now time.Time, e *topology.Server) bool {
+	o := s.executing
+	return now.Sub(s.stateAt) > entryLag || o != nil && s.priorStateSeen && e.Holds(o.Model, "") != o.Unload
 }
 
-// settle drops what the server's entry shows by now, and what was waited for
-// long enough. An accepted order goes before the entry for as long as that may
-// lag, also where the two agree: the entry that agrees may be from before the
-// order that this one took back, and a place that seemed free then would be
-// filled twice.
-func (s *server) settle(now time.Time) {
-	s.done = slices.DeleteFunc(s.done, func(c change) bool {
-		if now.Sub(c.at) <= entryLag {
+// reconcile drops accepted and unanswered orders that the entry shows by now or whose
+// time is over. An accepted order takes precedence over the entry for as long as the
+// entry may lag, even if the two agree: the entry may date from before an earlier order
+// that the accepted one reverted, and a slot that seemed free would then be used twice.
+func (s *server) reconcile(now time.Time) {
+	s.adapterChanges = slices.DeleteFunc(s.adapterChanges, func(c adapterChange) bool {
+		if now.Sub(c.acceptedAt) <= entryLag {
 			return false
 		}
 		if s.Server.Holds(c.order.Model, c.order.Adapter) == c.order.Unload {
-			s.known = false // the entry doesn't follow: the server has to say itself
+			s.stateKnown = false // the entry doesn't show the change: query the server
 			return false
 		}
 		return true
 	})
-	s.ghosts = slices.DeleteFunc(s.ghosts, func(g ghost) bool { return !now.Before(g.until) })
-	s.dropped = slices.DeleteFunc(s.dropped, func(d drop) bool { return !now.Before(d.until) })
-	s.noteLoaded(now)
-	w := s.waitsFor
+	s.unanswered = slices.DeleteFunc(s.unanswered, func(g unansweredOrder) bool { return !now.Before(g.until) })
+	s.dropped = slices.DeleteFunc(s.dropped, func(d droppedModel) bool { return !now.Before(d.until) })
+	s.updateFirstSeen(now)
+	o := s.executing
 	switch {
-	case w == nil:
-	case s.Server.Holds(w.Model, "") != w.Unload:
-		s.waitsFor = nil
-	case !now.Before(s.patience):
-		s.waitsFor, s.known = nil, false
+	case o == nil:
+	case s.Server.Holds(o.Model, "") != o.Unload:
+		s.executing = nil
+	case !now.Before(s.timeout):
+		s.executing, s.stateKnown = nil, false
 	}
 }
 
-// noteLoaded notes since when each model has been there.
-func (s *server) noteLoaded(now time.Time) {
-	old := s.loaded
-	s.loaded = make(map[string]time.Time, len(s.Models))
+// updateFirstSeen updates when each model was first seen on the server.
+func (s *server) updateFirstSeen(now time.Time) {
+	old := s.firstSeen
+	s.firstSeen = make(map[string]time.Time, len(s.Models))
 	for _, m := range s.Models {
 		since, ok := old[m.Name]
 		if !ok && old != nil {
 			since = now
 		}
-		s.loaded[m.Name] = since // zero: since before this lease
+		s.firstSeen[m.Name] = since // zero: present since before this lease
 	}
 }
 
-// said takes in what the server says of itself.
-func (s *server) said(now time.Time, st State) {
-	s.sending = false
-	s.askAt = now.Add(askBusy)
-	s.Models, s.sequence, s.saidAt, s.entryNew = st.Models, st.Sequence, now, false
-	s.known, s.done = true, nil
-	if st.Busy && s.waitsFor == nil { // with an order of another holder
-		s.known, s.quiet = false, now.Add(stateLag)
+// handleState processes the state that the server reported.
+func (s *server) handleState(now time.Time, st State) {
+	s.callInFlight = false
+	s.nextQueryAt = now.Add(stateQueryInterval)
+	s.Models, s.sequence, s.stateAt, s.entryPending = st.Models, st.Sequence, now, false
+	s.stateKnown, s.adapterChanges = true, nil
+	if st.Busy && s.executing == nil { // with an order from another holder
+		s.stateKnown, s.idleUntil = false, now.Add(stateLag)
 	}
-	s.settle(now)
+	s.reconcile(now)
 }
 
-// free says whether the server can be given an order now.
-func (s *server) free(now time.Time) bool {
-	return !s.Leaving && s.known && !s.sending && s.waitsFor == nil && s.retiring == nil && !now.Before(s.quiet)
+// available reports whether the server can receive an order now.
+func (s *server) available(now time.Time) bool {
+	return !s.Leaving && s.stateKnown && !s.callInFlight && s.executing == nil && s.draining == nil && !now.Before(s.idleUntil)
 }
 
-// unsure says whether the server should be asked for its state now: where it
-// isn't known, and where an order for a model should be carried out by now. Its
-// entry would show that up to two seconds later, and never while the store is
-// away.
-func (s *server) unsure(now time.Time) bool {
-	if s.Leaving || s.sending || now.Before(s.quiet) {
+// needsStateQuery reports whether to query the server's state now: if it isn't known,
+// or if an order for a model should have been executed by now. Its entry would show
+// that up to two seconds later, and never during a store outage.
+func (s *server) needsStateQuery(now time.Time) bool {
+	if s.Leaving || s.callInFlight || now.Before(s.idleUntil) {
 		return false
 	}
-	return !s.known || s.waitsFor != nil && !now.Before(s.askAt)
+	return !s.stateKnown || s.executing != nil && !now.Before(s.nextQueryAt)
 }
 
-// beyond returns how what the server is believed to hold differs from its entry.
-func (s *server) beyond() []topology.Held {
+// heldChanges returns how the models and adapters that the server holds differ from its
+// entry.
+func (s *server) heldChanges() []topology.Held {
 	var out []topology.Held
-	note := func(dropped bool, model, adapter string) {
+	add := func(dropped bool, model, adapter string) {
 		out = append(out, topology.Held{Server: s.ID, Dropped: dropped, Model: model, Adapter: adapter})
 	}
 	for _, m := range s.Models {
-		if s.gone(m.Name) {
-			note(true, m.Name, "")
+		if s.isDropped(m.Name) {
+			add(true, m.Name, "")
 			continue
 		}
 		if !s.entry.Holds(m.Name, "") {
-			note(false, m.Name, "")
+			add(false, m.Name, "")
 		}
 		for _, a := range s.adapters(m.Name) {
 			if !s.entry.Holds(m.Name, a) {
-				note(false, m.Name, a)
+				add(false, m.Name, a)
 			}
 		}
 	}
 	for _, m := range s.entry.Models {
 		if !s.Server.Holds(m.Name, "") {
-			note(true, m.Name, "")
+			add(true, m.Name, "")
 			continue
 		}
 		held := s.adapters(m.Name)
 		for _, a := range m.Adapters {
 			if !slices.Contains(held, a) {
-				note(true, m.Name, a)
+				add(true, m.Name, a)
 			}
 		}
 	}
 	return out
 }
 
-// gone says whether a model must not be used at the server any more.
-func (s *server) gone(model string) bool {
-	return s.goes(model) || slices.ContainsFunc(s.dropped, func(d drop) bool { return d.model == model })
+// isDropped reports whether instances must not use a model on the server any more.
+func (s *server) isDropped(model string) bool {
+	return s.isUnloading(model) || slices.ContainsFunc(s.dropped, func(d droppedModel) bool { return d.model == model })
 }
 
-// holds says whether the server holds the model or adapter, accepted orders included.
+// holds reports whether the server holds the model or adapter, taking accepted orders
+// into account.
 func (s *server) holds(model, adapter string) bool {
 	held := s.Server.Holds(model, adapter)
-	for _, c := range s.done {
+	for _, c := range s.adapterChanges {
 		if c.order.Model == model && c.order.Adapter == adapter {
 			held = !c.order.Unload
 		}
@@ -230,40 +230,42 @@
 	return held
 }
 
-// models returns the models that take memory at the server, with one that is
-// being loaded or that a late order may yet load.
+// models returns the models that take memory on the server, including one that is being
+// loaded and those that an unanswered order may still load.
 func (s *server) models() []string {
 	var out []string
 	for _, m := range s.Models {
 		out = append(out, m.Name)
 	}
-	for _, w := range []*Order{s.waitsFor, s.pending} {
-		if w != nil && !w.Unload && !slices.Contains(out, w.Model) {
-			out = append(out, w.Model)
+	for _, o := range []*Order{s.executing, s.orderInFlight} {
+		if o != nil && !o.Unload && !slices.Contains(out, o.Model) {
+			out = append(out, o.Model)
 		}
 	}
-	for _, g := range s.ghosts {
-		if s.mayCome(g) && g.order.Adapter == "" && !slices.Contains(out, g.order.Model) {
+	for _, g := range s.unanswered {
+		if s.mayExecute(g) && g.order.Adapter == "" && !slices.Contains(out, g.order.Model) {
 			out = append(out, g.order.Model)
 		}
 	}
 	return out
 }
 
-// mayCome says whether a load without an answer may yet be carried out beside
-// what is ordered next. The server checks the order's number: one that is past
-// is void, and the one that is due is taken by the order that comes next. One
-// that is still ahead was sent before the server started again under the same
-// id; so an order stays a ghost for its whole time, also once its number is past.
-func (s *server) mayCome(g ghost) bool { return !g.order.Unload && g.order.Sequence > s.sequence }
+// mayExecute reports whether the server may still execute an unanswered load in
+// addition to the next order. The server checks the order's sequence number: a lower
+// number than expected is refused, and the expected one is used up by the next order. A
+// higher number was sent before the server restarted under the same ID; therefore an
+// order stays in the list for its whole time, even after its number has been passed.
+func (s *server) mayExecute(o unansweredOrder) bool {
+	return !o.order.Unload && o.order.Sequence > s.sequence
+}
 
-// goes says whether the model is about to be unloaded.
-func (s *server) goes(model string) bool {
-	if s.retiring != nil && s.retiring.model == model {
+// isUnloading reports whether the model drains or is being unloaded.
+func (s *server) isUnloading(model string) bool {
+	if s.draining != nil && s.draining.model == model {
 		return true
 	}
-	for _, w := range []*Order{s.waitsFor, s.pending} {
-		if w != nil && w.Unload && w.Adapter == "" && w.Model == model {
+	for _, o := range []*Order{s.executing, s.orderInFlight} {
+		if o != nil && o.Unload && o.Adapter == "" && o.Model == model {
 			return true
 		}
 	}
@@ -278,7 +280,7 @@
 			out = append(out, m.Adapters...)
 		}
 	}
-	for _, c := range s.done {
+	for _, c := range s.adapterChanges {
 		if c.order.Model != model {
 			continue
 		}
@@ -290,45 +292,45 @@
 	return out
 }
 
-// adapterCount returns how many adapters take a place at the server.
+// adapterCount returns how many adapter slots of the server are taken.
 func (s *server) adapterCount() int {
 	n := 0
 	for _, m := range s.Models {
 		n += len(s.adapters(m.Name))
 	}
-	for _, g := range s.ghosts {
-		if s.mayCome(g) && g.order.Adapter != "" {
+	for _, g := range s.unanswered {
+		if s.mayExecute(g) && g.order.Adapter != "" {
 			n++
 		}
 	}
 	return n
 }
 
-// accepted takes in that the server accepted an order, and how long one for a
-// model is waited for.
-func (s *server) accepted(now time.Time, o Order, patience time.Duration) {
-	s.askAt = now.Add(askBusy)
+// orderAccepted records that the server accepted an order. timeout is how long to wait
+// for the execution of an order for a model.
+func (s *server) orderAccepted(now time.Time, o Order, timeout time.Duration) {
+	s.nextQueryAt = now.Add(stateQueryInterval)
 	if !o.Unload && !slices.Contains(s.OnDisk, o.Model) {
-		s.askAt = now.Add(patience / loadPatience)
+		s.nextQueryAt = now.Add(timeout / loadTimeoutFactor)
 	}
 	s.sequence = o.Sequence + 1
 	if o.Adapter != "" {
-		s.done = slices.DeleteFunc(s.done, func(c change) bool { return c.order.Model == o.Model && c.order.Adapter == o.Adapter })
-		s.done = append(s.done, change{order: o, at: now})
+		s.adapterChanges = slices.DeleteFunc(s.adapterChanges, func(c adapterChange) bool { return c.order.Model == o.Model && c.order.Adapter == o.Adapter })
+		s.adapterChanges = append(s.adapterChanges, adapterChange{order: o, acceptedAt: now})
 		return
 	}
 	if o.Unload {
-		s.dropped = append(s.dropped, drop{model: o.Model, until: now.Add(patience)})
+		s.dropped = append(s.dropped, droppedModel{model: o.Model, until: now.Add(timeout)})
 	}
-	s.waitsFor = &o
-	s.shownBefore = s.entry.Holds(o.Model, "") == o.Unload
-	s.patience = now.Add(patience)
+	s.executing = &o
+	s.priorStateSeen = s.entry.Holds(o.Model, "") == o.Unload
+	s.timeout = now.Add(timeout)
 }
 
-// refused takes in that the server refused an order, or did not answer.
-func (s *server) refused(now time.Time, o Order, mayHappen bool) {
-	s.known, s.quiet = false, now.Add(stateLag)
+// orderFailed records that the server refused an order or did not answer.
+func (s *server) orderFailed(now time.Time, o Order, mayHappen bool) {
+	s.stateKnown, s.idleUntil = false, now.Add(stateLag)
 	if mayHappen {
-		s.ghosts = append(s.ghosts, ghost{order: o, until: now.Add(lateOrder)})
+		s.unanswered = append(s.unanswered, unansweredOrder{order: o, until: now.Add(lateOrderWindow)})
 	}
 }
--- a/residency/world_test.go
+++ b/residency/world_test.go
@@ -13,40 +13,41 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// world is engines as the platform has them: they hold what they are ordered to
-// hold, count their orders, and some orders are lost or carried out late.
-type world struct {
-	t       require.TestingT
-	now     time.Time
-	service topology.Service
-	engines []*engine
-	p       *Planner
-	d       *Demand
-	loads   []time.Time // from the weight store
-	lost    func() bool // an order gets no answer and is carried out late
-	late    []lateOrderOf
-	asked   map[string]Asked
-	silent  bool               // no entry reaches the store
-	due     map[string]float64 // parts of requests, by target
-	work    map[string]float64 // seconds of a whole server that a request takes, by target
-	exact   bool               // asked names the requests of a step, and what is in flight stands for none
+// simulation is a set of simulated servers that behave as the platform's: they hold
+// what they are ordered to hold and count their orders; some orders are lost or
+// executed late.
+type simulation struct {
+	t             require.TestingT
+	now           time.Time
+	service       topology.Service
+	servers       []*simServer
+	planner       *Planner
+	tracker       *DemandTracker
+	storeLoads    []time.Time // start times of loads from the weight store
+	loseOrder     func() bool // reports whether an order gets no answer and is executed late
+	delayedOrders []delayedOrder
+	demand        map[string]TargetDemand
+	storeDown     bool               // no entry reaches the store
+	fractions     map[string]float64 // of requests not reported yet, by target
+	work          map[string]float64 // server time of a request in seconds, by target
+	exactRequests bool               // demand holds the exact requests of a step; none are derived from concurrency
 }
 
-type engine struct {
-	id       string
-	born     time.Time
-	sequence int64
-	models   map[string]map[string]bool // adapters by model
-	loading  string
-	unloads  string
-	ready    time.Time
-	disk     map[string]bool
-	leaving  bool
-	told     topology.Server // its entry, which lags
-	toldAt   time.Time
+type simServer struct {
+	id          string
+	born        time.Time
+	sequence    int64
+	models      map[string]map[string]bool // adapters by model
+	loading     string
+	unloading   string
+	readyAt     time.Time
+	onDisk      map[string]bool
+	leaving     bool
+	published   topology.Server // entry in the store, which lags
+	publishedAt time.Time
 }
 
-type lateOrderOf struct {
+type delayedOrder struct {
 	order Order
 	at    time.Time
 }
@@ -56,8 +57,8 @@
 	loadTime = 1200 * time.Millisecond
 )
 
-func newWorld(t require.TestingT, engines, models, adapters int) *world {
-	w := &world{t: t, now: start, d: NewDemand(), asked: map[string]Asked{}, due: map[string]float64{}, work: map[string]float64{}}
+func newSimulation(t require.TestingT, servers, models, adapters int) *simulation {
+	w := &simulation{t: t, now: start, tracker: NewDemandTracker(), demand: map[string]TargetDemand{}, fractions: map[string]float64{}, work: map[string]float64{}}
 	e := &topology.Engine{Slots: 32, MemoryMB: 220_000, AdapterSlots: 8, LoadsPerSecond: 2.8}
 	for i := range models {
 		m := topology.Model{Name: fmt.Sprint("m", i), MemoryMB: modelMB, LoadTime: loadTime, AdapterMB: 66}
@@ -67,38 +68,38 @@
 		e.Models = append(e.Models, m)
 	}
 	w.service = topology.Service{Name: "llm", Engine: e}
-	for i := range engines {
-		x := &engine{id: fmt.Sprint("s", i), born: start, models: map[string]map[string]bool{}, disk: map[string]bool{}}
-		w.engines = append(w.engines, x)
+	for i := range servers {
+		x := &simServer{id: fmt.Sprint("s", i), born: start, models: map[string]map[string]bool{}, onDisk: map[string]bool{}}
+		w.servers = append(w.servers, x)
 	}
-	w.p = NewPlanner(w.d)
+	w.planner = NewPlanner(w.tracker)
 	return w
 }
 
-// place puts a model on engines without an order.
-func (w *world) place(model string, engines ...int) {
-	for _, i := range engines {
-		w.engines[i].models[model] = map[string]bool{}
-		w.engines[i].disk[model] = true
+// placeModel puts a model on servers without an order.
+func (w *simulation) placeModel(model string, servers ...int) {
+	for _, i := range servers {
+		w.servers[i].models[model] = map[string]bool{}
+		w.servers[i].onDisk[model] = true
 	}
 }
 
-// ask sets what is asked for at once of a model.
-func (w *world) ask(model string, inFlight, waiting int) {
-	w.asked[topology.TargetName("llm", model, "")] = Asked{InFlight: inFlight, Waiting: waiting}
+// setDemand sets the concurrent requests for a model.
+func (w *simulation) setDemand(model string, inFlight, waiting int) {
+	w.demand[topology.TargetName("llm", model, "")] = TargetDemand{InFlight: inFlight, Waiting: waiting}
 }
 
-func (x *engine) entry() topology.Server {
+func (x *simServer) entry() topology.Server {
 	s := topology.Server{ID: x.id, Service: "llm", Addr: "10.0.0.1:1", Domain: "d", Slots: 32, Born: x.born, Leaving: x.leaving}
 	s.Models = x.held()
-	for m := range x.disk {
+	for m := range x.onDisk {
 		s.OnDisk = append(s.OnDisk, m)
 	}
 	slices.Sort(s.OnDisk)
 	return s
 }
 
-func (x *engine) held() []topology.HeldModel {
+func (x *simServer) held() []topology.HeldModel {
 	var out []topology.HeldModel
 	for _, name := range sortedNames(x.models) {
 		out = append(out, topology.HeldModel{Name: name, Version: 1, Adapters: sortedNames(x.models[name])})
@@ -115,16 +116,17 @@
 	return out
 }
 
-func (x *engine) find(w *world, o Order) bool { return x.id == o.Server }
+func (x *simServer) receives(w *simulation, o Order) bool { return x.id == o.Server }
 
-// carryOut is an engine's own part: it checks the number, and dies of too much.
-func (w *world) carryOut(o Order) bool {
-	for _, x := range w.engines {
-		if !x.find(w, o) || x.sequence != o.Sequence || x.loading != "" || x.unloads != "" {
+// execute simulates a server that receives an order: it checks the sequence number and
+// fails the test if it would hold too much.
+func (w *simulation) execute(o Order) bool {
+	for _, x := range w.servers {
+		if !x.receives(w, o) || x.sequence != o.Sequence || x.loading != "" || x.unloading != "" {
 			continue
 		}
 		if o.Adapter != "" && x.models[o.Model] == nil {
-			return false // an adapter needs its model
+			return false // an adapter requires its model
 		}
 		x.sequence++
 		switch {
@@ -138,13 +140,13 @@
 			}
 			require.LessOrEqual(w.t, n, w.service.Engine.AdapterSlots, "adapters on %s", x.id)
 		case o.Unload:
-			x.unloads, x.ready = o.Model, w.now.Add(300*time.Millisecond)
+			x.unloading, x.readyAt = o.Model, w.now.Add(300*time.Millisecond)
 		default:
-			x.loading, x.ready = o.Model, w.now.Add(w.loadTime(x, o.Model))
+			x.loading, x.readyAt = o.Model, w.now.Add(w.loadTime(x, o.Model))
 			require.LessOrEqual(w.t, float64(len(x.models)+1)*modelMB, w.service.Engine.MemoryMB, "models on %s", x.id)
-			if !x.disk[o.Model] {
-				w.loads = append(w.loads, w.now)
-				x.disk[o.Model] = true
+			if !x.onDisk[o.Model] {
+				w.storeLoads = append(w.storeLoads, w.now)
+				x.onDisk[o.Model] = true
 			}
 		}
 		return true
@@ -152,10 +154,11 @@
 	return false
 }
 
-// loadTime is how long an engine takes to load a model: a fifth where it has it on disk.
-func (w *world) loadTime(x *engine, model string) time.Duration {
+// loadTime returns how long a server takes to load a model: a fifth if the model is on
+// its disk.
+func (w *simulation) loadTime(x *simServer, model string) time.Duration {
 	for _, m := range w.service.Engine.Models {
-		if m.Name == model && x.disk[model] {
+		if m.Name == model && x.onDisk[model] {
 			return m.LoadTime / 5
 		}
 		if m.Name == model {
@@ -165,80 +168,80 @@
 	return loadTime
 }
 
-// arrivals returns what is asked for with the requests of one step: each holds
-// its place for a second.
-func (w *world) arrivals() map[string]Asked {
-	out := map[string]Asked{}
-	if w.exact {
-		maps.Copy(out, w.asked)
+// reportedDemand returns the demand with the requests of one step; each request
+// occupies a slot for a second.
+func (w *simulation) reportedDemand() map[string]TargetDemand {
+	out := map[string]TargetDemand{}
+	if w.exactRequests {
+		maps.Copy(out, w.demand)
 		return out
 	}
-	for name, a := range w.asked {
-		w.due[name] += float64(a.InFlight+a.Waiting) / 10
-		a.Requests = int(w.due[name])
-		w.due[name] -= float64(a.Requests)
+	for name, a := range w.demand {
+		w.fractions[name] += float64(a.InFlight+a.Waiting) / 10
+		a.Requests = int(w.fractions[name])
+		w.fractions[name] -= float64(a.Requests)
 		a.Work = time.Duration(float64(a.Requests) * w.work[name] * float64(time.Second))
 		out[name] = a
 	}
 	return out
 }
 
-// step lets 100 ms pass, with one plan.
-func (w *world) step() []Order {
+// step advances the simulation by 100 ms, with one plan.
+func (w *simulation) step() []Order {
 	w.now = w.now.Add(100 * time.Millisecond)
-	for _, l := range w.late {
+	for _, l := range w.delayedOrders {
 		if !w.now.Before(l.at) {
-			w.carryOut(l.order)
+			w.execute(l.order)
 		}
 	}
-	w.late = slices.DeleteFunc(w.late, func(l lateOrderOf) bool { return !w.now.Before(l.at) })
+	w.delayedOrders = slices.DeleteFunc(w.delayedOrders, func(l delayedOrder) bool { return !w.now.Before(l.at) })
 	v := topology.View{Config: &topology.Config{Services: map[string]topology.Service{"llm": w.service}}}
-	for _, x := range w.engines {
-		if (x.loading != "" || x.unloads != "") && !w.now.Before(x.ready) {
+	for _, x := range w.servers {
+		if (x.loading != "" || x.unloading != "") && !w.now.Before(x.readyAt) {
 			if x.loading != "" {
 				x.models[x.loading] = map[string]bool{}
 			}
-			delete(x.models, x.unloads)
-			x.loading, x.unloads, x.toldAt = "", "", time.Time{}
+			delete(x.models, x.unloading)
+			x.loading, x.unloading, x.publishedAt = "", "", time.Time{}
 		}
-		if !w.silent && w.now.Sub(x.toldAt) >= 1200*time.Millisecond {
-			x.told, x.toldAt = x.entry(), w.now
+		if !w.storeDown && w.now.Sub(x.publishedAt) >= 1200*time.Millisecond {
+			x.published, x.publishedAt = x.entry(), w.now
 		}
-		v.Servers = append(v.Servers, x.told)
-	}
-	w.d.Said(w.now, Word{Instance: "i", Domain: "d", Asked: w.arrivals()})
-	w.p.Update(w.now, &v)
-	for _, q := range w.p.Unsure(w.now) {
-		for _, x := range w.engines {
-			if x.find(w, q) {
-				w.p.Said(w.now, q.Server, State{Sequence: x.sequence, Busy: x.loading != "" || x.unloads != "", Models: x.held()})
+		v.Servers = append(v.Servers, x.published)
+	}
+	w.tracker.HandleReport(w.now, InstanceReport{Instance: "i", Domain: "d", TargetDemand: w.reportedDemand()})
+	w.planner.Update(w.now, &v)
+	for _, q := range w.planner.StateQueries(w.now) {
+		for _, x := range w.servers {
+			if x.receives(w, q) {
+				w.planner.HandleReport(w.now, q.Server, State{Sequence: x.sequence, Busy: x.loading != "" || x.unloading != "", Models: x.held()})
 			}
 		}
 	}
-	orders := w.p.Plan(w.now)
+	orders := w.planner.Plan(w.now)
 	for _, o := range orders {
 		switch {
-		case w.lost != nil && w.lost():
-			w.late = append(w.late, lateOrderOf{o, w.now.Add(time.Duration(2+len(w.late)%10) * time.Second)})
-			w.p.Done(w.now, o, 0, true)
-		case w.carryOut(o):
-			w.p.Done(w.now, o, Accepted, false)
+		case w.loseOrder != nil && w.loseOrder():
+			w.delayedOrders = append(w.delayedOrders, delayedOrder{o, w.now.Add(time.Duration(2+len(w.delayedOrders)%10) * time.Second)})
+			w.planner.HandleOrderResult(w.now, o, 0, true)
+		case w.execute(o):
+			w.planner.HandleOrderResult(w.now, o, Accepted, false)
 		default:
-			w.p.Done(w.now, o, 0, false)
+			w.planner.HandleOrderResult(w.now, o, 0, false)
 		}
 	}
 	return orders
 }
 
-func (w *world) run(d time.Duration) {
+func (w *simulation) run(d time.Duration) {
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.step()
 	}
 }
 
-func (w *world) replicas(model string) int {
+func (w *simulation) replicas(model string) int {
 	n := 0
-	for _, x := range w.engines {
+	for _, x := range w.servers {
 		if _, ok := x.models[model]; ok {
 			n++
 		}
