--- a/residency/controller.go
+++ b/residency/controller.go
@@ -151,8 +151,8 @@
 }
 
 // candidacy returns the candidates and whether the reporting instance is one. Until
-// candidates are chosen, each instance that competes for the lease is told to go on.
-// The lock is held.
+// candidates are chosen, the latter is whether the instance already competes for the
+// lease. The lock is held.
 func (c *Controller) candidacy(now time.Time, report InstanceReport) (Candidates, bool) {
 	if now.Sub(c.lastReportAt) > instanceTimeout {
 		c.listeningSince, c.candidates = now, nil // first report of this lease, or after a long gap
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -173,7 +173,7 @@
 
 // HandleOrderResult processes the outcome of an order. Without a result, mayExecute
 // says whether the server may still execute the order.
-func (p *Planner) HandleOrderResult(now time.Time, o Order, r Result, mayHappen bool) {
+func (p *Planner) HandleOrderResult(now time.Time, o Order, r Result, mayExecute bool) {
 	s := p.servers[o.Server]
 	if s == nil {
 		return
@@ -183,7 +183,7 @@
 	case r == Accepted || r == AlreadyApplied && o.Adapter != "" && o.Unload: // unloading an unused adapter takes no time
 		s.orderAccepted(now, o, p.completionTimeout(s, o))
 	default:
-		s.orderFailed(now, o, mayHappen)
+		s.orderFailed(now, o, mayExecute)
 	}
 }
 
--- a/residency/plan_bench_test.go
+++ b/residency/plan_bench_test.go
@@ -10,16 +10,16 @@
 
 // newCrowdedSimulation returns a simulation with three models on each server, nearly
 // twice as many models as servers, and demand for a ninth of the models.
-func newCrowdedSimulation(b testing.TB, engines int) *simulation {
-	models := engines * 444 / 240
-	w := newSimulation(b, engines, models, 0)
-	w.service.Engine.Slots, w.service.Engine.LoadsPerSecond = 12, 0.15*float64(engines)
+func newCrowdedSimulation(b testing.TB, servers int) *simulation {
+	models := servers * 444 / 240
+	w := newSimulation(b, servers, models, 0)
+	w.service.Engine.Slots, w.service.Engine.LoadsPerSecond = 12, 0.15*float64(servers)
 	for i := range w.service.Engine.Models {
 		if i%9 == 0 {
 			w.service.Engine.Models[i].Adapters = 24
 		}
 	}
-	for i := range engines {
+	for i := range servers {
 		for n := range 3 {
 			w.placeModel(fmt.Sprint("m", (3*i+n)%models), i)
 		}
@@ -43,12 +43,12 @@
 
 // BenchmarkPlan measures planning after demand has just moved.
 func BenchmarkPlan(b *testing.B) {
-	for _, engines := range []int{30, 100, 240} {
-		b.Run(fmt.Sprint("engines=", engines), func(b *testing.B) {
+	for _, servers := range []int{30, 100, 240} {
+		b.Run(fmt.Sprint("engines=", servers), func(b *testing.B) {
 			var spent time.Duration
 			plans := 0
 			for range b.N {
-				w := newCrowdedSimulation(b, engines)
+				w := newCrowdedSimulation(b, servers)
 				w.run(3 * time.Second)
 				w.moveDemand(4)
 				for range 30 {
--- a/residency/server.go
+++ b/residency/server.go
@@ -242,9 +242,9 @@
 			out = append(out, o.Model)
 		}
 	}
-	for _, g := range s.unanswered {
-		if s.mayExecute(g) && g.order.Adapter == "" && !slices.Contains(out, g.order.Model) {
-			out = append(out, g.order.Model)
+	for _, o := range s.unanswered {
+		if s.mayExecute(o) && o.order.Adapter == "" && !slices.Contains(out, o.order.Model) {
+			out = append(out, o.order.Model)
 		}
 	}
 	return out
@@ -328,9 +328,9 @@
 }
 
 // orderFailed records that the server refused an order or did not answer.
-func (s *server) orderFailed(now time.Time, o Order, mayHappen bool) {
+func (s *server) orderFailed(now time.Time, o Order, mayExecute bool) {
 	s.stateKnown, s.idleUntil = false, now.Add(stateLag)
-	if mayHappen {
+	if mayExecute {
 		s.unanswered = append(s.unanswered, unansweredOrder{order: o, until: now.Add(lateOrderWindow)})
 	}
 }
