--- a/residency/server.go
+++ b/residency/server.go
@@ -242,9 +242,9 @@
 			out = append(out, o.Model)
 		}
 	}
-	for _, o := range s.unanswered {
-		if s.mayExecute(o) && o.order.Adapter == "" && !slices.Contains(out, o.order.Model) {
-			out = append(out, o.order.Model)
+	for _, u := range s.unanswered {
+		if s.mayExecute(u) && u.order.Adapter == "" && !slices.Contains(out, u.order.Model) {
+			out = append(out, u.order.Model)
 		}
 	}
 	return out
