--- a/instance/follow_test.go
+++ b/instance/follow_test.go
@@ -105,7 +105,7 @@
 	i := newInformedInstance(now)
 	require.False(t, i.configConfirmedByPeer(now.Add(configConfirmationTTL)))
 	require.True(t, i.shouldReadServers(now.Add(holderListTTL)))
-	i.lease.Heard(true)
+	i.lease.ObserveHolder(true)
 	require.False(t, i.configConfirmedByPeer(now), "a candidate reads configurations for the others")
 	i = newInformedInstance(now)
 	i.view.InstancesByDomain = map[string]int{"d": manyInstances}
--- a/instance/instance.go
+++ b/instance/instance.go
@@ -89,11 +89,11 @@
 	i.lease = residency.NewLease(o.Group, memberName(o.Node, time.Now()), o.Node.LeaseTTL, o.Clock, o.Log)
 	// The store may leave a read unanswered while it answers others. Without a restart
 	// such a read hides a new configuration until its timeout of 4.8 s.
-	i.lease.OnReturn(func() { i.restartConfigRead(0) })
+	i.lease.OnRecovery(func() { i.restartConfigRead(0) })
 	i.lease.OnEra(func(era int64) { i.observeEra(era, "store") })
 	i.registerGauges()
 	i.controller = residency.NewController(residency.Options{
-		Holder: o.Node.Name, Lease: i.lease, Orderer: o.Orderer, View: i.currentView, Counted: m.countOrder, Spread: i.relay.Spread, Log: o.Log,
+		Holder: o.Node.Name, Lease: i.lease, Orderer: o.Orderer, View: i.currentView, CountOrder: m.countOrder, Spread: i.relay.Spread, Log: o.Log,
 	})
 	return i
 }
--- a/instance/sync.go
+++ b/instance/sync.go
@@ -126,9 +126,9 @@
 	report := i.report()
 	report.Candidates = s.candidates.Digest()
 	if i.lease.Holds() {
-		summary, err := i.controller.Said(time.Now(), report)
+		summary, err := i.controller.HandleReport(time.Now(), report)
 		if err == nil {
-			i.lease.Heard(summary.Chosen) // a holder that loses the lease stays a candidate
+			i.lease.ObserveHolder(summary.Chosen) // a holder that loses the lease stays a candidate
 			i.update(time.Now(), summary)
 			i.setPeerStatus(peerStatus{receivedAt: time.Now(), version: summary.Version})
 		}
@@ -146,11 +146,11 @@
 }
 
 // report returns this instance's current report to the lease holder.
-func (i *Instance) report() residency.Word {
+func (i *Instance) report() residency.InstanceReport {
 	n := i.opts.Node
-	return residency.Word{
+	return residency.InstanceReport{
 		Instance: n.Name, Domain: n.Domain, Addr: n.PeerAddr, Cores: n.Cores,
-		Asked: i.relay.Demand(), Loads: i.relay.Loads(), StoreDown: i.storeIsDown(), Version: i.configVersion(),
+		TargetDemand: i.relay.Demand(), Loads: i.relay.Loads(), StoreDown: i.storeIsDown(), Version: i.configVersion(),
 		Leaving: i.leavingServers(),
 		Rates:   i.relay.Rates(), HeldDigest: i.currentView().Held.Digest(), Stands: i.lease.Stands(),
 	}
@@ -158,7 +158,7 @@
 
 // syncWith sends a report to an instance. It returns true if that instance holds the
 // lease, or doesn't know who does, so that there is nobody else to ask.
-func (s *syncer) syncWith(ctx context.Context, addr string, report residency.Word) bool {
+func (s *syncer) syncWith(ctx context.Context, addr string, report residency.InstanceReport) bool {
 	i := s.instance
 	ctx, cancel := context.WithTimeout(ctx, syncTimeout)
 	defer cancel()
@@ -196,7 +196,7 @@
 		i.log.WithFields(logrus.Fields{"candidates": len(s.candidates), "chosen": summary.Chosen}).Info("lease candidates told")
 		s.holderLocator.update(s.candidates)
 	}
-	i.lease.Heard(summary.Chosen)
+	i.lease.ObserveHolder(summary.Chosen)
 	i.update(sent, summary)
 	i.setPeerStatus(peerStatusFromWire(sent, res, addr))
 	return true
@@ -211,7 +211,7 @@
 		s.instance.servers.invalidateHolderList()
 	}
 	if lost && namedByStore && s.holderLocator.shouldCompete(time.Now()) {
-		s.instance.lease.Vacant()
+		s.instance.lease.ObserveVacancy()
 	}
 	if lost {
 		s.instance.log.WithFields(logrus.Fields{
@@ -237,7 +237,7 @@
 	}
 	s.holderLocator.setStoreHolder(time.Now(), memberAddr(member))
 	if s.holderLocator.shouldCompete(time.Now()) {
-		s.instance.lease.Vacant()
+		s.instance.lease.ObserveVacancy()
 	}
 	if s.holderLocator.holder == "" {
 		return
@@ -301,7 +301,7 @@
 	e.instance.observeEra(req.GetStoreEra(), "instance")
 	e.instance.lease.ObserveToken(tokenFromWire(req.GetToken()))
 	e.instance.addLeavingServers(report.Leaving)
-	summary, err := e.instance.controller.Said(time.Now(), report)
+	summary, err := e.instance.controller.HandleReport(time.Now(), report)
 	var notHolder *residency.NotHolderError
 	if errors.As(err, &notHolder) && e.instance.lease.Stands() {
 		return e.instance.candidateResponse(time.Now(), req), nil
@@ -330,7 +330,7 @@
 	res.Rates, res.Place = wireRates(summary.Rates.Shares), uint32(summary.Rates.Position)
 	res.Leaving, res.StoreEra = wireStarts(e.instance.leavingServers()), e.instance.storeEra()
 	res.Token = wireToken(e.instance.lease.Token())
-	res.Held, res.HeldLost, res.HeldSince = wireHeld(summary.Held), wireHeld(summary.Lost), summary.Since
+	res.Held, res.HeldLost, res.HeldSince = wireHeld(summary.Held), wireHeld(summary.HeldRemoved), summary.HeldIncremental
 	return res, nil
 }
 
@@ -378,8 +378,8 @@
 		i.signalViewChanged()
 	}
 	held := s.Held
-	if s.Since {
-		held = i.view.Held.Change(s.Lost, s.Held)
+	if s.HeldIncremental {
+		held = i.view.Held.Change(s.HeldRemoved, s.Held)
 	}
 	if !held.Equal(i.view.Held) {
 		i.view.Held = held
--- a/instance/wire.go
+++ b/instance/wire.go
@@ -11,10 +11,10 @@
 
 // newSyncRequest encodes a report for the lease holder. Here and below, the functions named
 // wire* encode protobuf messages, and those named *FromWire decode them.
-func newSyncRequest(report residency.Word) *exchange.SyncRequest {
+func newSyncRequest(report residency.InstanceReport) *exchange.SyncRequest {
 	req := &exchange.SyncRequest{Instance: report.Instance, FailureDomain: report.Domain, StoreDown: report.StoreDown, ConfigVersion: report.Version, HeldDigest: report.HeldDigest,
 		Addr: report.Addr, Cores: float32(report.Cores), CandidatesDigest: report.Candidates, Stands: report.Stands}
-	for target, a := range report.Asked {
+	for target, a := range report.TargetDemand {
 		req.Demand = append(req.Demand, &exchange.Demand{
 			Target: target, Requests: uint32(a.Requests), Waiting: uint32(a.Waiting), InFlight: uint32(a.InFlight),
 			WorkMs: uint32(a.Work.Milliseconds()),
@@ -31,16 +31,16 @@
 	return req
 }
 
-func reportFromWire(req *exchange.SyncRequest) residency.Word {
-	report := residency.Word{
+func reportFromWire(req *exchange.SyncRequest) residency.InstanceReport {
+	report := residency.InstanceReport{
 		Instance: req.GetInstance(), Domain: req.GetFailureDomain(), Addr: req.GetAddr(), Cores: float64(req.GetCores()),
 		StoreDown: req.GetStoreDown(), Version: req.GetConfigVersion(),
 		HeldDigest: req.GetHeldDigest(), Candidates: req.GetCandidatesDigest(), Stands: req.GetStands(),
-		Asked: make(map[string]residency.Asked, len(req.GetDemand())),
-		Loads: loadsFromWire(req.GetLoads()), Leaving: startsFromWire(req.GetLeaving()),
+		TargetDemand: make(map[string]residency.TargetDemand, len(req.GetDemand())),
+		Loads:        loadsFromWire(req.GetLoads()), Leaving: startsFromWire(req.GetLeaving()),
 	}
 	for _, d := range req.GetDemand() {
-		report.Asked[d.GetTarget()] = residency.Asked{
+		report.TargetDemand[d.GetTarget()] = residency.TargetDemand{
 			Requests: int(d.GetRequests()), Waiting: int(d.GetWaiting()), InFlight: int(d.GetInFlight()),
 			Work: time.Duration(d.GetWorkMs()) * time.Millisecond,
 		}
@@ -86,7 +86,7 @@
 	s.Rates = decide.RateShares{
 		Shares: ratesFromWire(res.GetRates()), Position: int(res.GetPlace()), Instances: decide.CountInstances(s.Instances),
 	}
-	s.Held, s.Lost, s.Since = heldFromWire(res.GetHeld()), heldFromWire(res.GetHeldLost()), res.GetHeldSince()
+	s.Held, s.HeldRemoved, s.HeldIncremental = heldFromWire(res.GetHeld()), heldFromWire(res.GetHeldLost()), res.GetHeldSince()
 	return s
 }
 
--- a/relay/desk.go
+++ b/relay/desk.go
@@ -29,10 +29,10 @@
 type dispatcher struct {
 	mu         sync.Mutex
 	scheduler  *decide.Scheduler
-	calls      map[string]*call           // unfinished ones, by id
-	arrivals   map[string]residency.Asked // requests and work since the last call of demand, by target
-	inFlight   map[string]int             // dispatched calls, by server id
-	ticking    bool                       // a tick is scheduled
+	calls      map[string]*call                  // unfinished ones, by id
+	arrivals   map[string]residency.TargetDemand // requests and work since the last call of demand, by target
+	inFlight   map[string]int                    // dispatched calls, by server id
+	ticking    bool                              // a tick is scheduled
 	log        logrus.FieldLogger
 	metrics    Metrics
 	syncNeeded chan struct{}
@@ -42,7 +42,7 @@
 	return &dispatcher{
 		scheduler:  decide.NewScheduler(rng),
 		calls:      map[string]*call{},
-		arrivals:   map[string]residency.Asked{},
+		arrivals:   map[string]residency.TargetDemand{},
 		inFlight:   map[string]int{},
 		log:        log,
 		metrics:    m,
@@ -86,11 +86,11 @@
 	return out
 }
 
-func (d *dispatcher) demand() map[string]residency.Asked {
+func (d *dispatcher) demand() map[string]residency.TargetDemand {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	out := d.arrivals
-	d.arrivals = map[string]residency.Asked{}
+	d.arrivals = map[string]residency.TargetDemand{}
 	for _, c := range d.calls {
 		a := out[c.target]
 		if c.serverID != "" {
--- a/relay/relay.go
+++ b/relay/relay.go
@@ -136,7 +136,7 @@
 
 // Demand returns the demand for each target: requests that arrived since the last
 // call, and those now waiting and in flight.
-func (r *Relay) Demand() map[string]residency.Asked { return r.dispatcher.demand() }
+func (r *Relay) Demand() map[string]residency.TargetDemand { return r.dispatcher.demand() }
 
 // Spread divides the demand for each target equally among the servers that serve the
 // target, and returns the sums by server id.
