--- a/control/bench_test.go
+++ b/control/bench_test.go
@@ -17,18 +17,18 @@
 	"greengageferry/replay"
 )
 
-type noPlans struct{}
+type emptyPlanner struct{}
 
-func (noPlans) Plan(decide.PlanInput) []decide.Move { return nil }
+func (emptyPlanner) Plan(decide.PlanInput) []decide.Move { return nil }
 
-// quietDomain returns a holder's core with that many servers of 20 items each,
-// all as they should be.
+// quietDomain returns the lease holder's core in a domain with the given number
+// of servers, each in sync with an assignment of 20 items.
 func quietDomain(servers int) (*core, inputs, time.Time) {
 	now := time.Unix(0, 0)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := newCore(Options{
-		Instance: "n1", FailureDomain: testDomain, Planner: noPlans{}, Log: log, Metrics: new(expvar.Map), Random: rand.New(rand.NewPCG(1, 1)),
+		Instance: "n1", FailureDomain: testDomain, Planner: emptyPlanner{}, Log: log, Metrics: new(expvar.Map), Random: rand.New(rand.NewPCG(1, 1)),
 	}, now)
 	machine := replay.NewControl()
 	list := []infra.Instance{{ID: "n1", Role: infra.RoleEntry, State: infra.StateLive, FailureDomain: testDomain}}
@@ -50,26 +50,26 @@
 		apply(&record.Record{Body: &record.Record_Readiness{Readiness: &record.Readiness{Lease: 1, Server: id, Boot: "b", Items: replay.ItemRecords(items)}}})
 	}
 	apply(&record.Record{Body: &record.Record_OrdererJoin{OrdererJoin: &record.OrdererJoin{Instance: "n1"}}})
-	c.member.joined = machine.Offset()
+	c.member.joinOffset = machine.Offset()
 	in := inputs{view: machine.View(), list: fleet.NewList(now, list), cfg: testConfig(), idle: true}
 	c.lease.Observe(now, 0, replay.Lease{})
 	c.lease.Next(now, true, 0)
-	c.lease.Done(now, 1)
+	c.lease.AppendDone(now, 1)
 	c.step(now, in)
 	for _, st := range statuses {
-		polled{server: st.ID, asked: now, status: st}.apply(c, now)
+		pollDone{server: st.ID, askedAt: now, status: st}.apply(c, now)
 	}
 	return c, in, now
 }
 
-// BenchmarkHolderStep measures a step of the lease's holder in a quiet domain:
-// it makes four a second, and one for each batch of events.
+// BenchmarkHolderStep measures a step of the lease holder while all servers are in
+// sync. A holder makes four a second, and one for each change of the view.
 func BenchmarkHolderStep(b *testing.B) {
 	for _, servers := range []int{53, 211, 844} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			c, in, now := quietDomain(servers)
 			if len(c.step(now, in).orders) > 0 || !c.lease.Holds(now, 0) {
-				b.Fatal("the domain isn't quiet")
+				b.Fatal("the servers are not in sync")
 			}
 			for b.Loop() {
 				c.step(now, in)
@@ -78,7 +78,7 @@
 	}
 }
 
-// BenchmarkFollowerStep measures a step of an instance that holds no lease.
+// BenchmarkFollowerStep measures a step of an instance without the lease.
 func BenchmarkFollowerStep(b *testing.B) {
 	for _, servers := range []int{53, 211, 844} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/control/controller.go
+++ b/control/controller.go
@@ -10,92 +10,94 @@
 	"greengageferry/infra"
 )
 
-// The rings between the Controller's own goroutine and its workers.
+// Capacities of the channels between the Controller's goroutine and its
+// workers, and numbers of workers.
 const (
-	pollRing   = 64  // full: the poll is put off to the next step
-	orderRing  = 256 // full: the order is dropped, and is due again after Resend
-	askRing    = 64  // full: the question is dropped, and asked again a second later
-	missRing   = 64  // full: the word is dropped; the next dispatch says it again
-	eventRing  = 256 // full: the worker waits; the Controller's goroutine never waits for a worker
-	orderers   = 16  // senders of orders: a domain's loads are bounded by its store, fences by its servers
-	askers     = 4   // askers of other orderers, of which there are about seven
-	stepEvery  = 250 * time.Millisecond
-	endTimeout = 2 * time.Second // for the last records at a shutdown
+	pollBuffer      = 64  // when full, the poll is retried at the next step
+	orderBuffer     = 256 // when full, the order is dropped and due again after ResendDelay
+	queryBuffer     = 64  // when full, the query is dropped and sent again after queryEvery
+	missingBuffer   = 64  // when full, the report is dropped; the next dispatch reports again
+	eventBuffer     = 256 // when full, the worker waits; the Controller's goroutine never waits for a worker
+	orderWorkers    = 16  // enough: loads are bounded by the weight store's limits, fence orders by the number of servers
+	queryWorkers    = 4   // enough for the other orderers: DefaultMaxOrderers is 7
+	stepEvery       = 250 * time.Millisecond
+	shutdownTimeout = 2 * time.Second // for the append of the last records
 )
 
-// Controller runs core: it reads the clock, carries out the actions and brings
-// back their ends. All its methods may be called at any time.
+// Controller runs core: it reads the clock, passes core's actions to workers and
+// their results back to core. Its methods are safe for concurrent use.
 type Controller struct {
-	o        Options
-	limits   Limits
-	underWay *underWay
-	public   atomic.Pointer[public]
-
-	polls  chan poll
-	orders chan orderOut
-	asks   chan ask
-	gather chan []string
-	leases chan LeaseAppend
-	member chan batch
-	record chan batch
-	missed chan string
-	events chan event
-	ended  chan struct{} // closed when the own goroutine takes no more events
+	o              Options
+	limits         Limits
+	inFlightOrders *inFlightOrders
+	sharedState    atomic.Pointer[sharedState]
+
+	polls           chan poll
+	orders          chan outgoingOrder
+	queries         chan query
+	collectPartners chan []string
+	leaseAppends    chan LeaseAppend
+	member          chan batch  // actions.member
+	recordAppends   chan batch  // actions.records
+	missingReport   chan string // ids of servers
+	events          chan event
+	done            chan struct{} // closed when the Controller's goroutine takes no more events
 }
 
-// public is what the workers may know of core.
-type public struct {
-	until    time.Time    // the lease is held until then; zero: not held
-	joined   infra.Offset // the own join; 0: none known
-	listedAt time.Time
+// sharedState is the part of core's state that workers and callers may read.
+type sharedState struct {
+	leaseUntil time.Time    // end of the lease on this instance's clock; zero: not held
+	joinOffset infra.Offset // of this process's join as an orderer; 0: none known
+	listedAt   time.Time    // when this instance last saw itself on the list
 }
 
 // New returns a Controller; Run starts it.
 func New(o Options) *Controller {
 	l := o.Limits.withDefaults()
 	c := &Controller{
-		o: o, limits: l, underWay: newUnderWay(l.OrderLate),
-		polls: make(chan poll, pollRing), orders: make(chan orderOut, orderRing), asks: make(chan ask, askRing),
-		// One append or gathering of each kind is under way at a time, so these
-		// are never full.
-		gather: make(chan []string, 1), leases: make(chan LeaseAppend, 1), member: make(chan batch, 1), record: make(chan batch, 1),
-		missed: make(chan string, missRing), events: make(chan event, eventRing), ended: make(chan struct{}),
-	}
-	c.public.Store(&public{})
+		o: o, limits: l, inFlightOrders: newInFlightOrders(l.LateOrderWindow),
+		polls: make(chan poll, pollBuffer), orders: make(chan outgoingOrder, orderBuffer), queries: make(chan query, queryBuffer),
+		// One append or collection of each kind is in flight at a time, so these
+		// channels are never full.
+		collectPartners: make(chan []string, 1), leaseAppends: make(chan LeaseAppend, 1), member: make(chan batch, 1), recordAppends: make(chan batch, 1),
+		missingReport: make(chan string, missingBuffer), events: make(chan event, eventBuffer), done: make(chan struct{}),
+	}
+	c.sharedState.Store(&sharedState{})
 	return c
 }
 
-// Missing says that a dispatch found an assigned item missing on the server.
-// It never waits.
-func (c *Controller) Missing(server string) {
+// ReportMissing notes that a dispatch found an assigned item missing on the
+// server. It never blocks: a report that finds the channel full is dropped.
+func (c *Controller) ReportMissing(server string) {
 	select {
-	case c.missed <- server:
+	case c.missingReport <- server:
 	default:
 		c.o.Metrics.Add("missing_dropped", 1)
 	}
 }
 
-// Applied returns how far this instance has read its failure domain's control
-// stream with no order of an older assignment under way: 0 while that isn't
-// known. Peers ask for it.
+// Applied returns an offset of the failure domain's control stream that this
+// instance has read, such that no order of an older assignment is in flight from
+// this instance. It returns 0 while that isn't known. Peers query it.
 func (c *Controller) Applied() infra.Offset {
-	// The view is read before the orders: an order begun after that finds a
-	// newer assignment, and is dropped.
+	// The view is read before the orders in flight: an order begun after that is
+	// checked against this view or a newer one, and dropped if its assignment is
+	// superseded.
 	view := c.o.Views.View()
 	if view == nil {
 		return 0
 	}
-	if joined, is := view.Orderers[c.o.Instance]; is && joined != c.public.Load().joined {
-		return 0 // an earlier process's join: its orders aren't known here
+	if joinOffset, is := view.Orderers[c.o.Instance]; is && joinOffset != c.sharedState.Load().joinOffset {
+		return 0 // an earlier process's join: its orders in flight aren't known
 	}
-	return c.underWay.floor(time.Now(), view.Offset)
+	return c.inFlightOrders.lowestAssignment(time.Now(), view.Offset)
 }
 
-// Holds says whether this instance holds the domain's lease now.
-func (c *Controller) Holds() bool { return time.Now().Before(c.public.Load().until) }
+// HoldsLease reports whether this instance holds the domain's lease now.
+func (c *Controller) HoldsLease() bool { return time.Now().Before(c.sharedState.Load().leaseUntil) }
 
-// Run runs until ctx ends; it then gives the lease up and leaves the orderers.
-// It is run once.
+// Run runs the Controller until ctx ends, then releases the lease and leaves the
+// orderers. It may be called once.
 func (c *Controller) Run(ctx context.Context) error {
 	var workers errgroup.Group
 	start := func(n int, work func(context.Context)) {
@@ -103,56 +105,56 @@
 			workers.Go(func() error { work(ctx); return nil })
 		}
 	}
-	start(c.limits.Pollers, c.pollServers)
-	start(orderers, c.sendOrders)
-	start(askers, c.askOrderers)
+	start(c.limits.PollWorkers, c.pollServers)
+	start(orderWorkers, c.sendOrders)
+	start(queryWorkers, c.queryOrderers)
 	start(1, c.collect)
 	start(1, c.appendLease)
 	start(1, c.appendMember)
 	start(1, c.appendRecords)
 	core := newCore(c.o, time.Now())
 	func() {
-		defer c.stop(&workers) // also where core panics, so that no worker is left behind
+		defer c.stop(&workers) // also if core panics, so that no worker is leaked
 		c.loop(ctx, core)
 	}()
 	c.leave(ctx, core)
 	return nil
 }
 
-// stop ends the workers once each has ended what it has in hand.
+// stop closes the workers' channels and waits until the workers have finished.
 func (c *Controller) stop(workers *errgroup.Group) {
-	c.public.Store(&public{}) // holds nothing, orders nothing from here on
-	close(c.ended)
-	c.closeRings()
-	_ = workers.Wait() // they return no errors
+	c.sharedState.Store(&sharedState{}) // no lease and no join: no order is sent from here on
+	close(c.done)
+	c.closeChannels()
+	_ = workers.Wait() // workers return no errors
 }
 
-func (c *Controller) closeRings() {
+func (c *Controller) closeChannels() {
 	close(c.polls)
 	close(c.orders)
-	close(c.asks)
-	close(c.gather)
-	close(c.leases)
+	close(c.queries)
+	close(c.collectPartners)
+	close(c.leaseAppends)
 	close(c.member)
-	close(c.record)
+	close(c.recordAppends)
 }
 
-// loop steps core four times a second, and soon after the log or a dispatch
-// said something new. The ends of polls and orders wait for the next of these:
-// a domain of quiet servers has some forty a second.
+// loop steps core every stepEvery, and at once after a change of the view or a
+// missing report. Results of polls and orders don't trigger a step: a domain
+// whose servers are all in sync has some 40 poll results a second.
 func (c *Controller) loop(ctx context.Context, core *core) {
 	ticker := time.NewTicker(stepEvery)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		now := time.Now()
-		c.carryOut(core, core.step(now, c.inputs(now)))
+		c.dispatch(core, core.step(now, c.inputs(now)))
 		c.publish(core)
-		c.wait(ctx, core, ticker)
+		c.handleEvents(ctx, core, ticker)
 	}
 }
 
-// wait applies events until it is time for a step.
-func (c *Controller) wait(ctx context.Context, core *core, ticker *time.Ticker) {
+// handleEvents applies events until the next step is due.
+func (c *Controller) handleEvents(ctx context.Context, core *core, ticker *time.Ticker) {
 	for {
 		select {
 		case <-ctx.Done():
@@ -161,8 +163,8 @@
 			return
 		case <-c.o.Views.Changed():
 			return
-		case server := <-c.missed:
-			missed{server: server}.apply(core, time.Now())
+		case server := <-c.missingReport:
+			missingReport{server: server}.apply(core, time.Now())
 			return
 		case e := <-c.events:
 			e.apply(core, time.Now())
@@ -172,43 +174,43 @@
 
 func (c *Controller) inputs(now time.Time) inputs {
 	return inputs{
-		view:    c.o.Views.View(),
-		others:  c.o.Others(),
-		list:    c.o.Lists.List(),
-		cfg:     c.o.Config(),
-		down:    c.o.Views.Down(),
-		idle:    c.underWay.idle(now),
-		applied: c.Applied(),
+		view:       c.o.Views.View(),
+		otherViews: c.o.OtherViews(),
+		list:       c.o.Lists.List(),
+		cfg:        c.o.Config(),
+		logDown:    c.o.Views.Down(),
+		idle:       c.inFlightOrders.idle(now),
+		applied:    c.Applied(),
 	}
 }
 
 func (c *Controller) publish(core *core) {
-	p := public{joined: core.member.joined, listedAt: core.listedAt}
-	if until, held := core.lease.Until(); held {
-		p.until = until
+	p := sharedState{joinOffset: core.member.joinOffset, listedAt: core.listedAt}
+	if leaseUntil, held := core.lease.HeldUntil(); held {
+		p.leaseUntil = leaseUntil
 	}
-	c.public.Store(&p)
+	c.sharedState.Store(&p)
 }
 
-// carryOut hands the actions to the workers without waiting for any.
-func (c *Controller) carryOut(core *core, a actions) {
+// dispatch passes the actions to the workers without waiting for them.
+func (c *Controller) dispatch(core *core, a actions) {
 	if a.lease != nil {
-		c.leases <- *a.lease
+		c.leaseAppends <- *a.lease
 	}
 	if len(a.member) > 0 {
 		c.member <- batch{records: a.member}
 	}
 	if len(a.records) > 0 {
-		c.record <- batch{records: a.records}
+		c.recordAppends <- batch{records: a.records}
 	}
-	if len(a.gather) > 0 {
-		c.gather <- a.gather
+	if len(a.collectPartners) > 0 {
+		c.collectPartners <- a.collectPartners
 	}
 	for _, p := range a.polls {
 		select {
 		case c.polls <- p:
 		default:
-			unsentPoll{server: p.server}.apply(core, time.Now())
+			droppedPoll{server: p.server}.apply(core, time.Now())
 		}
 	}
 	for _, o := range a.orders {
@@ -218,9 +220,9 @@
 			c.o.Metrics.Add("orders_dropped", 1)
 		}
 	}
-	for _, q := range a.asks {
+	for _, q := range a.queries {
 		select {
-		case c.asks <- q:
+		case c.queries <- q:
 		default:
 		}
 	}
--- a/control/errors.go
+++ b/control/errors.go
@@ -6,27 +6,27 @@
 	"greengageferry/infra"
 )
 
-// HeldReason says why an order was held back directly before it was to be sent.
-type HeldReason string
+// NotSentReason is the reason why an order that was due was not sent.
+type NotSentReason string
 
-// The reasons of HeldError.
+// The reasons of a NotSentError.
 const (
-	HeldStopping   HeldReason = "stopping"    // the instance is ending
-	HeldAssignment HeldReason = "assignment"  // the assignment is no longer the newest
-	HeldNotOrderer HeldReason = "not_orderer" // the own join isn't on the log
-	HeldLease      HeldReason = "lease"       // the lease may run out while the order is under way
-	HeldLogUp      HeldReason = "log_up"      // the log is back: only the lease's holder orders
-	HeldUnlisted   HeldReason = "unlisted"    // this instance hasn't seen itself on the list for too long
+	NotSentStopping        NotSentReason = "stopping"    // the instance is shutting down
+	NotSentStaleAssignment NotSentReason = "assignment"  // the assignment is no longer the newest
+	NotSentNotOrderer      NotSentReason = "not_orderer" // this process's join isn't on the log
+	NotSentLeaseExpiring   NotSentReason = "lease"       // the lease may expire while the order is in flight
+	NotSentLogUp           NotSentReason = "log_up"      // the log is readable again, so only the lease holder sends orders
+	NotSentUnlisted        NotSentReason = "unlisted"    // this instance hasn't seen itself on the list for too long
 )
 
-// HeldError says that an order was not sent: none of its bytes left.
-type HeldError struct {
+// NotSentError reports that an order was not sent, not even in part.
+type NotSentError struct {
 	Server string
 	Fence  infra.Offset
-	Reason HeldReason
+	Reason NotSentReason
 }
 
 // Error implements error.
-func (e *HeldError) Error() string {
+func (e *NotSentError) Error() string {
 	return fmt.Sprintf("order to %s under assignment %d not sent: %s", e.Server, e.Fence, e.Reason)
 }
--- a/control/events.go
+++ b/control/events.go
@@ -10,59 +10,60 @@
 	"greengageferry/infra"
 )
 
-// event is the end of something that core asked for, or something that
-// happened beside it. Each is applied by the goroutine that owns core.
+// event is the result of an action that core requested, or an external
+// notification. Events are applied by the goroutine that owns core.
 type event interface{ apply(c *core, now time.Time) }
 
-// polled is the end of a status call.
-type polled struct {
-	server string
-	asked  time.Time
-	status infra.ServerStatus
-	err    error
+// pollDone is the result of a status call.
+type pollDone struct {
+	server  string
+	askedAt time.Time
+	status  infra.ServerStatus
+	err     error
 }
 
-func (e polled) apply(c *core, now time.Time) {
+func (e pollDone) apply(c *core, now time.Time) {
 	s := c.servers[e.server]
 	if s == nil {
 		return
 	}
 	if e.err != nil {
-		c.add("polls_failed")
-		s.unanswered(now)
+		c.increment("polls_failed")
+		s.pollFailed(now)
 		return
 	}
 	if e.status.ID != "" && e.status.ID != e.server {
-		// Another server has this address now: nothing is known of the one meant.
-		c.add("polls_of_another")
-		s.unanswered(now)
+		// Another server has this address now, so the poll failed for this one.
+		c.increment("polls_of_another")
+		s.pollFailed(now)
 		return
 	}
 	if s.status != nil && s.status.Boot != e.status.Boot {
-		c.add("restarts_seen")
+		c.increment("restarts_seen")
 		c.log.WithFields(logrus.Fields{"server": s.id, "boot": e.status.Boot, "before": s.status.Boot}).Warn("server restarted")
 	}
-	s.polled(e.asked, e.status)
+	s.pollDone(e.askedAt, e.status)
 }
 
-// unsentPoll says that a poll found no room with the pollers.
-type unsentPoll struct{ server string }
+// droppedPoll reports that a poll was dropped because the pollers' channel was
+// full.
+type droppedPoll struct{ server string }
 
-func (e unsentPoll) apply(c *core, now time.Time) {
+func (e droppedPoll) apply(c *core, now time.Time) {
 	if s := c.servers[e.server]; s != nil {
 		s.polling = false
 	}
 }
 
-// ordered is the end of an order's call. Whether it took effect is seen in the
-// server's status.
-type ordered struct {
+// orderDone is the result of an order's call. Whether the order took effect is
+// read from the server's status.
+type orderDone struct {
 	server string
 	order  infra.Order
 	err    error
 }
 
-func (e ordered) apply(c *core, now time.Time) {
+func (e orderDone) apply(c *core, now time.Time) {
 	s := c.servers[e.server]
 	if s == nil {
 		return
@@ -71,86 +72,86 @@
 		s.pollAt = now
 		return
 	}
-	c.add("orders_failed")
+	c.increment("orders_failed")
 	c.log.WithFields(logrus.Fields{
 		"server": e.server, "order": e.order.Kind, "item": itemName(e.order.Item), "fence": e.order.Fence, "cause": e.err,
 	}).Warn("order failed")
 }
 
-// leaseAppended is the end of the lease keeper's append.
-type leaseAppended struct {
-	offset infra.Offset // 0: failed, or not known
+// leaseAppendDone is the result of the LeaseKeeper's append.
+type leaseAppendDone struct {
+	offset infra.Offset // 0: failed, or outcome not known
 	reason string
 	kind   string
 	err    error
 }
 
-func (e leaseAppended) apply(c *core, now time.Time) {
-	c.lease.Done(now, e.offset)
+func (e leaseAppendDone) apply(c *core, now time.Time) {
+	c.lease.AppendDone(now, e.offset)
 	fields := logrus.Fields{"record": e.kind, "reason": e.reason, "offset": e.offset}
 	if e.err != nil {
-		c.add("lease_appends_failed")
+		c.increment("lease_appends_failed")
 		c.log.WithFields(fields).WithField("cause", e.err).Warn("lease record failed")
 		return
 	}
 	c.log.WithFields(fields).Debug("lease record")
 }
 
-// memberAppended is the end of the append of the own join.
-type memberAppended struct{ joined infra.Offset }
+// memberAppendDone is the result of appending this instance's join.
+type memberAppendDone struct{ joinOffset infra.Offset }
 
-func (e memberAppended) apply(c *core, now time.Time) { c.member.done(now, e.joined) }
+func (e memberAppendDone) apply(c *core, now time.Time) { c.member.appendDone(now, e.joinOffset) }
 
-// recordsAppended is the end of the append of a batch.
-type recordsAppended struct {
-	first infra.Offset // 0: failed, or not known
+// recordsAppendDone is the result of appending actions.records.
+type recordsAppendDone struct {
+	first infra.Offset // of the batch's first record; 0: failed, or outcome not known
 	count int
 	err   error
 }
 
-func (e recordsAppended) apply(c *core, now time.Time) {
+func (e recordsAppendDone) apply(c *core, now time.Time) {
 	c.appending = false
 	if e.err != nil {
-		c.add("appends_failed")
-		c.retryAt = now.Add(appendRetry)
+		c.increment("appends_failed")
+		c.retryAt = now.Add(appendRetryDelay)
 		c.log.WithFields(logrus.Fields{"records": e.count, "cause": e.err}).Warn("records failed")
 		return
 	}
-	c.settled = e.first + infra.Offset(e.count) - 1
+	c.awaitedOffset = e.first + infra.Offset(e.count) - 1
 }
 
-// answered is an orderer's word on how far it has applied.
-type answered struct {
-	ask    ask
+// queryDone is an orderer's answer to a query.
+type queryDone struct {
+	query  query
 	offset infra.Offset
 	err    error
 }
 
-func (e answered) apply(c *core, now time.Time) {
+func (e queryDone) apply(c *core, now time.Time) {
 	if e.err != nil {
-		c.add("asks_failed")
+		c.increment("asks_failed")
 		return
 	}
-	c.said[e.ask.instance.ID] = confirmation{joined: e.ask.joined, offset: e.offset}
+	c.confirmations[e.query.instance.ID] = confirmation{joinOffset: e.query.joinOffset, offset: e.offset}
 }
 
-// collected is what a plan rests on beside the log and the statuses.
-type collected struct{ gathered }
+// collectDone is the planData collected for the next plan.
+type collectDone struct{ planData }
 
-func (e collected) apply(c *core, now time.Time) {
-	c.gathering, c.ready = false, true
+func (e collectDone) apply(c *core, now time.Time) {
+	c.collecting, c.planDataReady = false, true
 	if e.demand == nil {
 		e.demand = map[string]decide.Demand{}
 	}
-	c.gathered = e.gathered
-	c.gathered.stores = maps.Clone(c.pace.limits) // a store that is out keeps its last limits
-	maps.Copy(c.gathered.stores, e.stores)
+	c.planData = e.planData
+	c.planData.stores = maps.Clone(c.limiter.limits) // a store that is down keeps its last limits
+	maps.Copy(c.planData.stores, e.stores)
 	if c.cfg != nil && c.list != nil {
-		c.pace.set(now, c.gathered.stores, storeSharers(c.cfg, c.list))
+		c.limiter.update(now, c.planData.stores, domainsPerStore(c.cfg, c.list))
 	}
 }
 
-// missed says that a dispatch found an assigned item missing on a server.
-type missed struct{ server string }
+// missingReport reports that a dispatch found an assigned item missing on a server.
+type missingReport struct{ server string }
 
-func (e missed) apply(c *core, now time.Time) { c.miss(now, e.server) }
+func (e missingReport) apply(c *core, now time.Time) { c.recordMissing(now, e.server) }
--- a/control/fakelog_test.go
+++ b/control/fakelog_test.go
@@ -9,7 +9,7 @@
 	"greengageferry/replay"
 )
 
-// fakeLog is one control stream, with every follower of it.
+// fakeLog is one control stream with its followers.
 type fakeLog struct {
 	mu        sync.Mutex
 	records   []*record.Record
@@ -21,13 +21,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.down = down
-	l.spread()
+	l.deliver()
 }
 
-// spread lets each follower that isn't cut off read to the end. The caller holds mu.
-func (l *fakeLog) spread() {
+// deliver lets each connected follower read to the end of the log. The caller
+// holds mu.
+func (l *fakeLog) deliver() {
 	for _, f := range l.followers {
-		if l.down || f.cut {
+		if l.down || f.disconnected {
 			continue
 		}
 		for int(f.machine.Offset()) < len(l.records) {
@@ -47,20 +48,21 @@
 	defer l.mu.Unlock()
 	f := &follower{log: l, machine: replay.NewControl(), changed: make(chan struct{}, 1)}
 	l.followers = append(l.followers, f)
-	l.spread()
+	l.deliver()
 	return f
 }
 
-// follower is one instance's connection to the log: its Views and Appender.
+// follower is one instance's connection to the log. It implements Views and
+// logsync.Appender.
 type follower struct {
-	log        *fakeLog
-	machine    *replay.Control
-	view       *replay.ControlView
-	changed    chan struct{}
-	cut        bool
-	origin     string
-	sequence   uint64
-	loseAnswer bool // of the next append
+	log          *fakeLog
+	machine      *replay.Control
+	view         *replay.ControlView
+	changed      chan struct{}
+	disconnected bool
+	origin       string
+	sequence     uint64
+	loseAnswer   bool // of the next append, which takes effect
 }
 
 func (f *follower) View() *replay.ControlView {
@@ -74,14 +76,14 @@
 func (f *follower) Down() bool {
 	f.log.mu.Lock()
 	defer f.log.mu.Unlock()
-	return f.log.down || f.cut
+	return f.log.down || f.disconnected
 }
 
-func (f *follower) setCut(cut bool) {
+func (f *follower) setDisconnected(disconnected bool) {
 	f.log.mu.Lock()
 	defer f.log.mu.Unlock()
-	f.cut = cut
-	f.log.spread()
+	f.disconnected = disconnected
+	f.log.deliver()
 }
 
 func (f *follower) Append(ctx context.Context, _ string, records ...*record.Record) (infra.Offset, error) {
@@ -97,7 +99,7 @@
 	}
 	first := infra.Offset(len(f.log.records) + 1)
 	f.log.records = append(f.log.records, records...)
-	f.log.spread()
+	f.log.deliver()
 	if f.loseAnswer {
 		f.loseAnswer = false
 		return 0, &infra.Error{Op: "log.append", Reason: infra.ReasonTimeout}
--- a/control/fakeservers_test.go
+++ b/control/fakeservers_test.go
@@ -11,12 +11,12 @@
 	"greengageferry/infra"
 )
 
-// fakeEngine is a backend server that checks nothing but the fencing number,
-// and keeps the truth about its memory.
+// fakeEngine is a backend server that checks only the fencing token and loads
+// items whether they fit or not.
 type fakeEngine struct {
-	id, addr string
-	ignores  bool
-	memory   int64
+	id, addr  string
+	unfenced  bool // ignores fencing tokens
+	memoryMiB int64
 
 	boot  int
 	dead  bool
@@ -24,39 +24,39 @@
 	items map[infra.Key]infra.ResidentItem
 }
 
-// fault says what becomes of an order on its way.
+// fault is what the network does to an order.
 type fault int
 
 const (
-	faultNone   fault = iota
-	faultLost         // never arrives
-	faultLate         // arrives after its call was given up
-	faultDouble       // arrives now and once more later
-	faultAnswer       // arrives, but its answer is lost
+	faultNone       fault = iota
+	faultLost             // never arrives
+	faultLate             // arrives after its call timed out
+	faultDuplicated       // arrives at once and again a second later
+	faultAnswerLost       // arrives, but its answer is lost
 )
 
-// fakeServers are the domain's engines and the network to them.
+// fakeServers holds the domain's backend servers and simulates the network to them.
 type fakeServers struct {
-	mu         sync.Mutex
-	byAddr     map[string]*fakeEngine
-	loadTime   time.Duration
-	unloadTime time.Duration
-	lateness   time.Duration
-	fault      func(o infra.Order) fault
-	orders     []infra.Order
-	over       []string // every overcommitment
-	loads      int
+	mu          sync.Mutex
+	byAddr      map[string]*fakeEngine
+	loadTime    time.Duration
+	unloadTime  time.Duration
+	lateDelay   time.Duration
+	fault       func(o infra.Order) fault
+	orders      []infra.Order
+	overcommits []string // descriptions of all overcommitments
+	loads       int
 }
 
-func newServers() *fakeServers {
+func newFakeServers() *fakeServers {
 	return &fakeServers{
-		byAddr: map[string]*fakeEngine{}, loadTime: 2 * time.Second, unloadTime: time.Second, lateness: 10 * time.Second,
+		byAddr: map[string]*fakeEngine{}, loadTime: 2 * time.Second, unloadTime: time.Second, lateDelay: 10 * time.Second,
 		fault: func(infra.Order) fault { return faultNone },
 	}
 }
 
-func (s *fakeServers) add(id string, memory int64, ignores bool) *fakeEngine {
-	e := &fakeEngine{id: id, addr: "10.0.0.1:" + id, memory: memory, ignores: ignores, items: map[infra.Key]infra.ResidentItem{}}
+func (s *fakeServers) add(id string, memoryMiB int64, unfenced bool) *fakeEngine {
+	e := &fakeEngine{id: id, addr: "10.0.0.1:" + id, memoryMiB: memoryMiB, unfenced: unfenced, items: map[infra.Key]infra.ResidentItem{}}
 	s.byAddr[e.addr] = e
 	return e
 }
@@ -87,10 +87,10 @@
 	return out
 }
 
-func (s *fakeServers) violations() []string {
+func (s *fakeServers) overcommitments() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.over)
+	return slices.Clone(s.overcommits)
 }
 
 func (s *fakeServers) status(addr string) (infra.ServerStatus, error) {
@@ -100,8 +100,8 @@
 	if e == nil || e.dead {
 		return infra.ServerStatus{}, &infra.Error{Op: "engine.status", Addr: addr, Reason: infra.ReasonUnreachable, Effect: infra.EffectNone}
 	}
-	st := infra.ServerStatus{ID: e.id, Boot: fmt.Sprint("boot", e.boot), MemoryMiB: e.memory, Items: slices.Collect(maps.Values(e.items))}
-	if !e.ignores {
+	st := infra.ServerStatus{ID: e.id, Boot: fmt.Sprint("boot", e.boot), MemoryMiB: e.memoryMiB, Items: slices.Collect(maps.Values(e.items))}
+	if !e.unfenced {
 		st.Fence = e.fence
 	}
 	slices.SortFunc(st.Items, func(a, b infra.ResidentItem) int {
@@ -110,26 +110,26 @@
 	return st, nil
 }
 
-// order brings an order through the network's faults.
+// order delivers an order with the fault that s.fault returns for it.
 func (s *fakeServers) order(ctx context.Context, addr string, o infra.Order) error {
 	s.mu.Lock()
-	f := s.fault(o)
+	faultKind := s.fault(o)
 	s.orders = append(s.orders, o)
 	s.mu.Unlock()
 	lost := &infra.Error{Op: "engine.order", Addr: addr, Reason: infra.ReasonTimeout}
-	switch f {
+	switch faultKind {
 	case faultLost:
 		<-ctx.Done()
 		return lost
 	case faultLate:
-		time.AfterFunc(s.lateness, func() { _ = s.arrive(addr, o) })
+		time.AfterFunc(s.lateDelay, func() { _ = s.arrive(addr, o) })
 		<-ctx.Done()
 		return lost
-	case faultAnswer:
+	case faultAnswerLost:
 		_ = s.arrive(addr, o)
 		<-ctx.Done()
 		return lost
-	case faultDouble:
+	case faultDuplicated:
 		time.AfterFunc(time.Second, func() { _ = s.arrive(addr, o) })
 	}
 	return s.arrive(addr, o)
@@ -145,7 +145,7 @@
 	switch {
 	case e == nil || e.dead:
 		return none(infra.ReasonUnreachable)
-	case !e.ignores && o.Fence < e.fence:
+	case !e.unfenced && o.Fence < e.fence:
 		return none(infra.ReasonStaleFence)
 	}
 	e.fence = max(e.fence, o.Fence)
@@ -154,28 +154,29 @@
 	case o.Kind == infra.OrderLoad && !there:
 		s.load(e, o.Item)
 	case o.Kind == infra.OrderUnload && there && resident.State != infra.ItemUnloading:
-		s.turn(e, o.Item, infra.ItemUnloading, s.unloadTime, func() { delete(e.items, o.Item.Key()) })
+		s.startTransition(e, o.Item, infra.ItemUnloading, s.unloadTime, func() { delete(e.items, o.Item.Key()) })
 	}
 	return nil
 }
 
-// load starts a load, whether it fits or not. The caller holds mu.
+// load starts a load and records an overcommitment if the item doesn't fit. The
+// caller holds mu.
 func (s *fakeServers) load(e *fakeEngine, i infra.Item) {
 	s.loads++
 	ready := infra.ResidentItem{Item: i, State: infra.ItemReady}
-	s.turn(e, i, infra.ItemLoading, s.loadTime, func() { e.items[i.Key()] = ready })
-	taken := int64(0)
+	s.startTransition(e, i, infra.ItemLoading, s.loadTime, func() { e.items[i.Key()] = ready })
+	usedMiB := int64(0)
 	for _, r := range e.items {
-		taken += r.MiB
+		usedMiB += r.MiB
 	}
-	if taken > e.memory {
-		s.over = append(s.over, fmt.Sprintf("%s: %d of %d MiB with %s", e.id, taken, e.memory, itemName(i)))
+	if usedMiB > e.memoryMiB {
+		s.overcommits = append(s.overcommits, fmt.Sprintf("%s: %d of %d MiB with %s", e.id, usedMiB, e.memoryMiB, itemName(i)))
 	}
 }
 
-// turn gives an item a state, and ends it after the time unless the server
-// restarted or the item turned again. The caller holds mu.
-func (s *fakeServers) turn(e *fakeEngine, i infra.Item, state infra.ItemState, after time.Duration, end func()) {
+// startTransition sets an item's state and calls end after the given time, unless
+// the server restarted or the state changed. The caller holds mu.
+func (s *fakeServers) startTransition(e *fakeEngine, i infra.Item, state infra.ItemState, after time.Duration, end func()) {
 	e.items[i.Key()] = infra.ResidentItem{Item: i, State: state}
 	boot := e.boot
 	time.AfterFunc(after, func() {
--- a/control/holder.go
+++ b/control/holder.go
@@ -9,38 +9,39 @@
 	"greengageferry/replay"
 )
 
-// hold is the lease holder's part of a step: look at the servers, order them
-// toward their assignments, say on the log what was seen, and plan.
-func (c *core) hold(now time.Time, a *actions) {
+// stepHolder is the lease holder's part of a step: poll the servers, send orders
+// that move them toward their assignments, append observations, and plan.
+func (c *core) stepHolder(now time.Time, a *actions) {
 	for _, id := range sortedKeys(c.servers) {
 		c.pollIfDue(now, id, a)
 	}
-	active := c.active()
-	c.orderAll(now, a, true, active)
-	c.askOrderers(now, a)
-	c.gatherIfDue(now, a)
-	if c.appending || now.Before(c.retryAt) || c.view.Offset < c.settled {
+	outOfSync := c.outOfSync()
+	c.addDueOrders(now, a, true, outOfSync)
+	c.queryOrderers(now, a)
+	c.collectIfDue(now, a)
+	if c.appending || now.Before(c.retryAt) || c.view.Offset < c.awaitedOffset {
 		return
 	}
-	a.records = c.seen(now, active)
+	a.records = c.observationRecords(now, outOfSync)
 	if len(a.records) == 0 {
 		a.records = c.plan(now)
 	}
 	c.appending = len(a.records) > 0
 }
 
-// active returns the servers with an assignment that aren't as they should be,
-// sorted. A status is compared with the log once, when either is new: most of
-// a domain's servers are quiet at any time, and a step looks at all of them.
-func (c *core) active() []string {
+// outOfSync returns the ids of the servers that don't match their assignment,
+// sorted. The result of the comparison is cached until the status or the
+// assignment changes: most servers are in sync at any time, and each step checks
+// all of them.
+func (c *core) outOfSync() []string {
 	var out []string
 	for id, want := range c.view.Servers {
 		s := c.server(id)
-		if s.missingSince.IsZero() && s.failures == 0 && len(s.sent) == 0 && s.calmStatus == s.status && s.calmWant == want {
+		if s.unlistedSince.IsZero() && s.failures == 0 && len(s.sent) == 0 && s.syncedStatus == s.status && s.syncedWant == want {
 			continue
 		}
-		if s.quiet(want, c.ignoresFence(want.Pool)) {
-			s.calmStatus, s.calmWant = s.status, want
+		if s.inSync(want, c.ignoresFence(want.Pool)) {
+			s.syncedStatus, s.syncedWant = s.status, want
 			continue
 		}
 		out = append(out, id)
@@ -49,16 +50,17 @@
 	return out
 }
 
-// takeOver forgets statuses from before the lease: they may be of long ago.
+// takeOver discards statuses from before the lease, once for each lease: they
+// may be long out of date.
 func (c *core) takeOver() {
-	if c.held == c.lease.ID() {
+	if c.takenOverLease == c.lease.ID() {
 		return
 	}
-	c.held = c.lease.ID()
+	c.takenOverLease = c.lease.ID()
 	for _, s := range c.servers {
-		s.forgetStatus()
+		s.resetStatus()
 	}
-	c.log.WithField("lease", c.held).Info("lease held")
+	c.log.WithField("lease", c.takenOverLease).Info("lease held")
 }
 
 func (c *core) pollIfDue(now time.Time, id string, a *actions) {
@@ -71,175 +73,184 @@
 	a.polls = append(a.polls, poll{server: id, addr: s.addr})
 }
 
-// maxPollBackoff bounds how much less often a silent server is looked at: one
-// that comes back is seen within a few seconds.
+// maxPollBackoff bounds the consecutive failures that lengthen the poll interval
+// of a server that doesn't answer, so that its return is seen within seconds.
 const maxPollBackoff = 4
 
-// pollDelay is jittered by a fifth, so that the looks spread over the interval.
+// pollDelay returns the time to a server's next poll, with a jitter of ±20% so
+// that polls spread over the interval.
 func (c *core) pollDelay(s *server, want *replay.Server) time.Duration {
-	every := c.l.PollEvery * time.Duration(1+min(s.failures, maxPollBackoff))
-	if s.quiet(want, want != nil && c.ignoresFence(want.Pool)) {
-		every = c.l.PollQuiet
+	every := c.limits.PollEvery * time.Duration(1+min(s.failures, maxPollBackoff))
+	if s.inSync(want, want != nil && c.ignoresFence(want.Pool)) {
+		every = c.limits.PollInSyncEvery
 	}
 	return scale(every, 0.8+0.4*c.rng.Float64())
 }
 
-// seen returns records for what was seen of the servers and the orderers.
-func (c *core) seen(now time.Time, active []string) []*record.Record {
+// observationRecords returns the records for observed changes of servers and
+// orderers.
+func (c *core) observationRecords(now time.Time, active []string) []*record.Record {
 	var out []*record.Record
 	for _, id := range active {
-		if len(out) >= maxBatch {
+		if len(out) >= maxBatchRecords {
 			return out
 		}
 		s, want := c.server(id), c.view.Servers[id]
-		if r := c.retire(now, s, want); r != nil {
+		if r := c.goneServerRecord(now, s, want); r != nil {
 			out = append(out, r)
 			continue
 		}
-		if r := c.removal(s, want); r != nil {
+		if r := c.removalRecord(s, want); r != nil {
 			out = append(out, r)
 		}
-		if r := c.readiness(now, s, want); r != nil {
+		if r := c.readinessRecord(now, s, want); r != nil {
 			out = append(out, r)
 		}
 	}
-	return append(out, c.departures(now)...)
+	return append(out, c.leaveRecords(now)...)
 }
 
-func (c *core) removal(s *server, want *replay.Server) *record.Record {
-	gone := removable(s, want, c.ignoresFence(want.Pool))
-	if len(gone) == 0 || s.assignment != want.Assignment {
+// removalRecord confirms that lingering items are gone for good, or returns nil.
+func (c *core) removalRecord(s *server, want *replay.Server) *record.Record {
+	removed := removableItems(s, want, c.ignoresFence(want.Pool))
+	if len(removed) == 0 || s.assignment != want.Assignment {
 		return nil
 	}
-	c.logRemoval(s, gone)
+	c.logRemoval(s, removed)
 	return &record.Record{Body: &record.Record_Removal{Removal: &record.Removal{
 		Lease:      uint64(c.lease.ID()),
 		Server:     s.id,
 		Assignment: uint64(want.Assignment),
-		Items:      replay.ItemRecords(gone),
+		Items:      replay.ItemRecords(removed),
 	}}}
 }
 
-// readiness says what a server serves, where that isn't what the log says. A
-// server that refuses old numbers is believed only once it has seen its newest
-// assignment's: an unload from before could still come.
-func (c *core) readiness(now time.Time, s *server, want *replay.Server) *record.Record {
-	var ready []infra.Item
+// readinessRecord records what a server serves, or returns nil if the log already
+// says so. The status of a server that refuses old fencing tokens counts only
+// once the server has seen the token of its newest assignment: an unload of an
+// older assignment could still arrive.
+func (c *core) readinessRecord(now time.Time, s *server, want *replay.Server) *record.Record {
+	var readyItems []infra.Item
 	boot := want.Boot
 	switch {
-	case s.silent(now) >= c.l.Unreachable:
+	case s.silentFor(now) >= c.limits.UnreachableAfter:
 	case s.status == nil || s.failures > 0:
 		return nil
 	case !c.ignoresFence(want.Pool) && infra.Offset(s.status.Fence) < want.Assignment && s.status.Boot == want.Boot:
 		return nil
 	default:
-		ready, boot = s.ready(want.Assigned), s.status.Boot
+		readyItems, boot = s.readyItems(want.Assigned), s.status.Boot
 	}
-	if boot == want.Boot && sameItems(ready, want.Ready) {
+	if boot == want.Boot && sameItems(readyItems, want.Ready) {
 		return nil
 	}
-	c.logReadiness(s, want, ready)
+	c.logReadiness(s, want, readyItems)
 	return &record.Record{Body: &record.Record_Readiness{Readiness: &record.Readiness{
 		Lease:  uint64(c.lease.ID()),
 		Server: s.id,
 		Boot:   boot,
-		Items:  replay.ItemRecords(ready),
+		Items:  replay.ItemRecords(readyItems),
 	}}}
 }
 
-// retire drops the assignment of a server that is gone: off the list, and
-// silent. On an engine that ignores fencing numbers its items are dropped
-// first, and it is forgotten only once no earlier order is under way, should it
-// come back.
-func (c *core) retire(now time.Time, s *server, want *replay.Server) *record.Record {
-	unlisted := !s.missingSince.IsZero() && c.list.Read.Sub(s.missingSince) >= c.l.ServerGone
-	if !unlisted || s.addr != "" && s.silent(now) < c.l.Unreachable {
+// goneServerRecord drops the assignment of a server that is off the list and
+// doesn't answer. Its engine may ignore fencing tokens: then its items are
+// dropped first, and the server itself only once no earlier order is in flight,
+// because an order could still load an item if the server came back.
+func (c *core) goneServerRecord(now time.Time, s *server, want *replay.Server) *record.Record {
+	unlisted := !s.unlistedSince.IsZero() && c.list.Read.Sub(s.unlistedSince) >= c.limits.ServerGoneAfter
+	if !unlisted || s.addr != "" && s.silentFor(now) < c.limits.UnreachableAfter {
 		return nil
 	}
-	memory := int64(0)
+	memoryMiB := int64(0)
 	if c.ignoresFence(want.Pool) {
 		switch {
 		case len(want.Assigned) > 0:
-			memory = want.MemoryMiB // drops the items, and keeps them lingering
-		case len(want.Lingering) > 0 && s.confirmedFor != want.Assignment:
+			memoryMiB = want.MemoryMiB // an assignment without items: all of them become lingering
+		case len(want.Lingering) > 0 && s.confirmedAssignment != want.Assignment:
 			return nil
 		}
 	}
-	c.logRetire(s, want, memory)
+	c.logServerGone(s, want, memoryMiB)
 	return &record.Record{Body: &record.Record_Assignment{Assignment: &record.Assignment{
-		Lease: uint64(c.lease.ID()), Server: s.id, Pool: want.Pool, MemoryMib: memory, Reason: "server_gone",
+		Lease: uint64(c.lease.ID()), Server: s.id, Pool: want.Pool, MemoryMib: memoryMiB, Reason: "server_gone",
 	}}}
 }
 
-// departures says of orderers that are gone from the list that they have left.
-func (c *core) departures(now time.Time) []*record.Record {
+// leaveRecords returns a leave for each orderer that has been off the list for
+// Limits.OrdererGoneAfter.
+func (c *core) leaveRecords(now time.Time) []*record.Record {
 	var out []*record.Record
-	for _, instance := range sortedKeys(c.unlisted) {
-		if instance == c.self || c.list.Read.Sub(c.unlisted[instance]) < c.l.OrdererGone {
+	for _, instance := range sortedKeys(c.unlistedSince) {
+		if instance == c.self || c.list.Read.Sub(c.unlistedSince[instance]) < c.limits.OrdererGoneAfter {
 			continue
 		}
-		c.logDeparture(instance, now)
-		out = append(out, leaveOf(instance))
+		c.logOrdererGone(instance, now)
+		out = append(out, leaveRecord(instance))
 	}
 	return out
 }
 
-// askOrderers asks the orderers on whose word a removal waits, each at most
-// once a second. What they said so far settles the servers it is enough for.
-func (c *core) askOrderers(now time.Time, a *actions) {
-	c.said[c.self] = confirmation{joined: c.view.Orderers[c.self], offset: c.applied}
+// queryOrderers queries the orderers whose confirmation a removal waits for, each
+// at most once in queryEvery. It marks the assignments that all orderers needed
+// have confirmed.
+func (c *core) queryOrderers(now time.Time, a *actions) {
+	c.confirmations[c.self] = confirmation{joinOffset: c.view.Orderers[c.self], offset: c.applied}
 	waiting := map[string]bool{}
 	for id, want := range c.view.Servers {
 		s := c.server(id)
-		if len(want.Lingering) == 0 || !c.ignoresFence(want.Pool) || s.confirmedFor == want.Assignment {
+		if len(want.Lingering) == 0 || !c.ignoresFence(want.Pool) || s.confirmedAssignment == want.Assignment {
 			continue
 		}
-		left := unconfirmed(c.view, want.Assignment, c.said)
-		if len(left) == 0 {
-			s.confirmedFor, s.confirmedAt = want.Assignment, now
+		unconfirmed := unconfirmedOrderers(c.view, want.Assignment, c.confirmations)
+		if len(unconfirmed) == 0 {
+			s.confirmedAssignment, s.confirmedAt = want.Assignment, now
 		}
-		for _, instance := range left {
+		for _, instance := range unconfirmed {
 			waiting[instance] = true
 		}
 	}
 	for _, instance := range sortedKeys(waiting) {
-		line, listed := c.list.Get(instance)
-		if !listed || now.Sub(c.asked[instance]) < askEvery || instance == c.self {
+		target, listed := c.list.Get(instance)
+		if !listed || now.Sub(c.queriedAt[instance]) < queryEvery || instance == c.self {
 			continue
 		}
-		c.asked[instance] = now
-		a.asks = append(a.asks, ask{instance: line, joined: c.view.Orderers[instance]})
+		c.queriedAt[instance] = now
+		a.queries = append(a.queries, query{instance: target, joinOffset: c.view.Orderers[instance]})
 	}
 }
 
-// askEvery bounds what a paused orderer costs: one small call a second.
-const askEvery = time.Second
+// queryEvery bounds the cost of an orderer that is paused: one small call a
+// second.
+const queryEvery = time.Second
 
-// gatherIfDue asks for demand and the stores' limits as often as it plans.
-func (c *core) gatherIfDue(now time.Time, a *actions) {
-	if c.gathering || now.Before(c.gatherAt) || c.cfg == nil || len(c.cfg.Partners) == 0 {
+// collectIfDue requests demand and the stores' limits once in a plan interval.
+func (c *core) collectIfDue(now time.Time, a *actions) {
+	if c.collecting || now.Before(c.collectAt) || c.cfg == nil || len(c.cfg.Partners) == 0 {
 		return
 	}
-	c.gathering = true
-	c.gatherAt = now.Add(c.l.PlanEvery)
-	a.gather = sortedKeys(c.cfg.Partners)
+	c.collecting = true
+	c.collectAt = now.Add(c.limits.PlanEvery)
+	a.collectPartners = sortedKeys(c.cfg.Partners)
 }
 
-// plan asks the planner, once what it rests on is known.
+// plan returns the assignments of a new plan if one is due and its inputs are
+// known.
 func (c *core) plan(now time.Time) []*record.Record {
-	if c.cfg == nil || !c.ready || now.Before(c.planAt) || !c.allPolled() {
+	if c.cfg == nil || !c.planDataReady || now.Before(c.planAt) || !c.allPolled() {
 		return nil
 	}
-	c.planAt = now.Add(c.l.PlanEvery)
-	c.add("plans")
+	c.planAt = now.Add(c.limits.PlanEvery)
+	c.increment("plans")
 	in := c.planInput(now, c.cfg)
-	return c.assignments(in, c.planner.Plan(in))
+	return c.assignmentRecords(in, c.planner.Plan(in))
 }
 
-// allPolled says whether each server was looked at once, answering or not.
+// allPolled reports whether each server was polled once, with or without an
+// answer.
 func (c *core) allPolled() bool {
-	for _, line := range c.engines {
-		if s := c.server(line.ID); s.status == nil && s.failures == 0 {
+	for _, instance := range c.engines {
+		if s := c.server(instance.ID); s.status == nil && s.failures == 0 {
 			return false
 		}
 	}
--- a/control/lease.go
+++ b/control/lease.go
@@ -11,136 +11,139 @@
 
 // LeaseOptions are a LeaseKeeper's settings.
 type LeaseOptions struct {
-	Holder    string        // this instance's id
-	Duration  time.Duration // of the leases it claims
-	RateBound float64       // how far two clocks' rates may differ
-	Stagger   time.Duration // between two claimants' ranks
-	Retry     time.Duration // the least between two appends
+	Holder        string        // this instance's id
+	Duration      time.Duration // of the leases it claims
+	MaxClockDrift float64       // largest relative difference between two clocks' rates
+	Stagger       time.Duration // additional delay of a claim for each rank
+	RetryDelay    time.Duration // minimum between two appends
 }
 
-// LeaseAppend is a record that a LeaseKeeper wants on the log.
+// LeaseAppend is a record that a LeaseKeeper asks to append to the log.
 type LeaseAppend struct {
 	Record *record.Record
 	Reason string // for the log line
 }
 
-// sentRecord is an own claim or renewal.
+// sentRecord is a claim or renewal that this instance sent.
 type sentRecord struct {
-	at     time.Time    // before it was sent
+	at     time.Time    // taken before sending
 	offset infra.Offset // 0: not known
 }
 
-// LeaseKeeper claims, renews and releases a failure domain's lease. It is
-// stepped with what was read of the log and with the ends of its appends, one
-// at a time; it reads no clock. A lease counts from before its claim or
-// renewal was sent, and only once that was read back as effective.
+// LeaseKeeper claims, renews and releases a failure domain's lease. It is a state
+// machine without I/O or a clock: Observe passes it the lease as read from the
+// log, Next returns the record to append, and AppendDone passes it the result.
+// The lease's duration starts before its claim or renewal was sent, and the lease
+// counts as held only once that record was read back from the log as effective.
 type LeaseKeeper struct {
 	o LeaseOptions
 
-	known  bool         // a view was read
-	offset infra.Offset // read up to here
-	seen   replay.Lease
-	seenAt time.Time // when the newest record of the lease was read
+	viewRead   bool         // Observe was called
+	offset     infra.Offset // of the last view observed
+	observed   replay.Lease
+	observedAt time.Time // when observed last changed
 
-	id       infra.Offset // the offset of the own claim; 0: none
-	from     time.Time    // what the own lease counts from
-	readBack infra.Offset // the newest own record read back as effective
-	sent     []sentRecord // own renewals that weren't read back yet, oldest first
-	inFlight bool         // an append is under way
-	pending  *sentRecord  // the claim under way
-	retryAt  time.Time
+	id            infra.Offset // offset of this instance's claim; 0: none
+	validFrom     time.Time    // start of this instance's lease duration
+	lastConfirmed infra.Offset // newest claim or renewal read back as effective
+	unconfirmed   []sentRecord // renewals not yet read back, oldest first
+	inFlight      bool         // between Next and AppendDone
+	pendingClaim  *sentRecord  // the claim in flight; nil: none
+	retryAt       time.Time
 }
 
-// NewLeaseKeeper returns a keeper that holds nothing.
+// NewLeaseKeeper returns a keeper that holds no lease.
 func NewLeaseKeeper(o LeaseOptions) *LeaseKeeper { return &LeaseKeeper{o: o} }
 
-// Observe takes in the lease as of a view read at now.
+// Observe updates the keeper with the lease as of a view read at now.
 func (k *LeaseKeeper) Observe(now time.Time, offset infra.Offset, lease replay.Lease) {
-	if !k.known || lease != k.seen {
-		k.seenAt = now
+	if !k.viewRead || lease != k.observed {
+		k.observedAt = now
 	}
-	k.known, k.offset, k.seen = true, offset, lease
-	k.settle()
+	k.viewRead, k.offset, k.observed = true, offset, lease
+	k.updateOwnLease()
 }
 
-// settle compares the own lease with what was read.
-func (k *LeaseKeeper) settle() {
+// updateOwnLease compares this instance's lease with the observed one: it drops a
+// lost or released lease and extends the lease by a renewal read back.
+func (k *LeaseKeeper) updateOwnLease() {
 	if k.id == 0 || k.offset < k.id {
 		return
 	}
-	if k.seen.ID != k.id || k.seen.Released {
-		k.id, k.sent = 0, nil
+	if k.observed.ID != k.id || k.observed.Released {
+		k.id, k.unconfirmed = 0, nil
 		return
 	}
-	byOffset := func(s sentRecord) bool { return s.offset == k.seen.Renewed }
-	if i := slices.IndexFunc(k.sent, byOffset); i >= 0 {
-		k.extend(k.sent[i].at)
-		k.sent = slices.Clone(k.sent[i+1:])
-		k.readBack = k.seen.Renewed
+	byOffset := func(s sentRecord) bool { return s.offset == k.observed.Renewed }
+	if i := slices.IndexFunc(k.unconfirmed, byOffset); i >= 0 {
+		k.extend(k.unconfirmed[i].at)
+		k.unconfirmed = slices.Clone(k.unconfirmed[i+1:])
+		k.lastConfirmed = k.observed.Renewed
 		return
 	}
-	if k.seen.Renewed == k.readBack {
+	if k.observed.Renewed == k.lastConfirmed {
 		return
 	}
-	k.readBack = k.seen.Renewed
-	superseded := func(s sentRecord) bool { return !unresolved(s) && s.offset < k.readBack }
-	k.sent = slices.DeleteFunc(k.sent, superseded)
-	// The renewal's answer was lost or is still to come: it is counted from the
-	// earliest that it can be, so the lease is never counted too long.
-	if i := slices.IndexFunc(k.sent, unresolved); i >= 0 {
-		k.extend(k.sent[i].at)
+	k.lastConfirmed = k.observed.Renewed
+	superseded := func(s sentRecord) bool { return !offsetUnknown(s) && s.offset < k.lastConfirmed }
+	k.unconfirmed = slices.DeleteFunc(k.unconfirmed, superseded)
+	// The append's result was lost or is pending, so the renewal read back can be
+	// any of those with unknown offset. The earliest is assumed, so that the lease
+	// is never taken to last too long.
+	if i := slices.IndexFunc(k.unconfirmed, offsetUnknown); i >= 0 {
+		k.extend(k.unconfirmed[i].at)
 	}
 }
 
-func unresolved(s sentRecord) bool { return s.offset == 0 }
+func offsetUnknown(s sentRecord) bool { return s.offset == 0 }
 
-func (k *LeaseKeeper) extend(from time.Time) {
-	if from.After(k.from) {
-		k.from = from
+func (k *LeaseKeeper) extend(validFrom time.Time) {
+	if validFrom.After(k.validFrom) {
+		k.validFrom = validFrom
 	}
 }
 
-// Until returns the time until which the lease is held on this instance's own
-// clock, and false where it isn't held at all.
-func (k *LeaseKeeper) Until() (time.Time, bool) {
-	if k.id == 0 || k.seen.ID != k.id {
+// HeldUntil returns the end of the lease on this instance's clock, which may have
+// passed, and false if this instance's claim isn't the effective one.
+func (k *LeaseKeeper) HeldUntil() (time.Time, bool) {
+	if k.id == 0 || k.observed.ID != k.id {
 		return time.Time{}, false
 	}
-	return k.from.Add(scale(k.o.Duration, 1-k.o.RateBound)), true
+	return k.validFrom.Add(scale(k.o.Duration, 1-k.o.MaxClockDrift)), true
 }
 
-// Holds says whether the lease is held at now and for the spare time after it.
-func (k *LeaseKeeper) Holds(now time.Time, spare time.Duration) bool {
-	until, ok := k.Until()
-	return ok && now.Add(spare).Before(until)
+// Holds reports whether the lease is held at now and for at least margin after.
+func (k *LeaseKeeper) Holds(now time.Time, margin time.Duration) bool {
+	until, ok := k.HeldUntil()
+	return ok && now.Add(margin).Before(until)
 }
 
-// ID returns the offset of the own lease, or 0.
+// ID returns the offset of this instance's claim if it is the effective one, or 0.
 func (k *LeaseKeeper) ID() infra.Offset {
-	if _, ok := k.Until(); !ok {
+	if _, ok := k.HeldUntil(); !ok {
 		return 0
 	}
 	return k.id
 }
 
-// Next returns the record to append now, if any; Done must follow. An instance
-// is eligible while the platform's list has it as live; rank orders the
-// domain's claimants.
+// Next returns the record to append now, if any; AppendDone must follow. An
+// instance is eligible while it is live on the platform's list; rank is its
+// position among the domain's claimants.
 func (k *LeaseKeeper) Next(now time.Time, eligible bool, rank int) (LeaseAppend, bool) {
-	if !k.known || k.inFlight || now.Before(k.retryAt) {
+	if !k.viewRead || k.inFlight || now.Before(k.retryAt) {
 		return LeaseAppend{}, false
 	}
 	switch {
-	case k.id != 0 && k.seen.ID != k.id:
-		return LeaseAppend{}, false // the own claim isn't read back yet
+	case k.id != 0 && k.observed.ID != k.id:
+		return LeaseAppend{}, false // this instance's claim isn't read back yet
 	case k.id != 0 && !eligible:
-		return k.send(releaseOf(k.id), "not live on the list"), true
+		return k.send(releaseRecord(k.id), "not live on the list"), true
 	case k.id != 0:
 		return k.renew(now)
-	case k.seen.Holder == k.o.Holder && !k.seen.Released:
-		// A claim in this name whose sending isn't known, from an answer that
-		// was lost or from an earlier process: when it counts from isn't known.
-		return k.send(releaseOf(k.seen.ID), "own name, unknown start"), true
+	case k.observed.Holder == k.o.Holder && !k.observed.Released:
+		// A claim in this instance's name from an earlier process, or one whose
+		// append result was lost: when the lease started isn't known.
+		return k.send(releaseRecord(k.observed.ID), "own lease with unknown start"), true
 	case eligible:
 		return k.claim(now, rank)
 	}
@@ -148,44 +151,44 @@
 }
 
 func (k *LeaseKeeper) renew(now time.Time) (LeaseAppend, bool) {
-	if now.Before(k.from.Add(k.o.Duration/3)) || len(k.sent) >= maxSent {
+	if now.Before(k.validFrom.Add(k.o.Duration/3)) || len(k.unconfirmed) >= maxUnconfirmed {
 		return LeaseAppend{}, false
 	}
-	k.note(now)
+	k.recordRenewal(now)
 	body := &record.Record_LeaseRenewal{LeaseRenewal: &record.LeaseRenewal{Lease: uint64(k.id)}}
-	return k.send(&record.Record{Body: body}, "a third has passed"), true
+	return k.send(&record.Record{Body: body}, "a third of the lease has passed"), true
 }
 
-// maxSent bounds the renewals that wait to be read back: with that many unread,
-// more than two leases have passed and another one is of no use.
-const maxSent = 8
+// maxUnconfirmed bounds the renewals not yet read back: with 8 of them, more than
+// two lease durations have passed and another renewal is of no use.
+const maxUnconfirmed = 8
 
-// note keeps a renewal that is about to be sent. Of those whose offset isn't
-// known only the earliest is of use.
-func (k *LeaseKeeper) note(now time.Time) {
-	if i := slices.IndexFunc(k.sent, unresolved); i >= 0 {
-		later := slices.DeleteFunc(slices.Clone(k.sent[i+1:]), unresolved)
-		k.sent = append(k.sent[:i+1], later...)
+// recordRenewal adds a renewal that is about to be sent. Of the earlier ones with
+// unknown offset it keeps only the earliest, from which updateOwnLease counts.
+func (k *LeaseKeeper) recordRenewal(now time.Time) {
+	if i := slices.IndexFunc(k.unconfirmed, offsetUnknown); i >= 0 {
+		later := slices.DeleteFunc(slices.Clone(k.unconfirmed[i+1:]), offsetUnknown)
+		k.unconfirmed = append(k.unconfirmed[:i+1], later...)
 	}
-	k.sent = append(k.sent, sentRecord{at: now})
+	k.unconfirmed = append(k.unconfirmed, sentRecord{at: now})
 }
 
 func (k *LeaseKeeper) claim(now time.Time, rank int) (LeaseAppend, bool) {
-	at := k.seenAt.Add(time.Duration(rank) * k.o.Stagger)
+	at := k.observedAt.Add(time.Duration(rank) * k.o.Stagger)
 	reason := "free"
-	if k.seen.ID != 0 && !k.seen.Released {
-		at = at.Add(scale(time.Duration(k.seen.DurationMS)*time.Millisecond, 1+k.o.RateBound))
-		reason = "ran out"
+	if k.observed.ID != 0 && !k.observed.Released {
+		at = at.Add(scale(time.Duration(k.observed.DurationMS)*time.Millisecond, 1+k.o.MaxClockDrift))
+		reason = "lease expired"
 	}
 	if now.Before(at) {
 		return LeaseAppend{}, false
 	}
-	k.pending = &sentRecord{at: now}
+	k.pendingClaim = &sentRecord{at: now}
 	body := &record.Record_LeaseClaim{LeaseClaim: &record.LeaseClaim{
 		Holder:     k.o.Holder,
 		DurationMs: uint32(k.o.Duration.Milliseconds()),
-		Previous:   uint64(k.seen.ID),
-		LastSeen:   uint64(k.seen.Renewed),
+		Previous:   uint64(k.observed.ID),
+		LastSeen:   uint64(k.observed.Renewed),
 	}}
 	return k.send(&record.Record{Body: body}, reason), true
 }
@@ -195,33 +198,34 @@
 	return LeaseAppend{Record: r, Reason: reason}
 }
 
-// Release returns the record that gives the lease up at a shutdown, or nil.
+// Release returns the record that releases the lease at shutdown, or nil if this
+// instance has no claim.
 func (k *LeaseKeeper) Release() *record.Record {
 	if k.id == 0 {
 		return nil
 	}
 	id := k.id
 	k.id = 0
-	return releaseOf(id)
+	return releaseRecord(id)
 }
 
-// Done takes in the end of the append that Next returned: its offset, or 0
-// where it failed or what became of it isn't known.
-func (k *LeaseKeeper) Done(now time.Time, offset infra.Offset) {
+// AppendDone passes in the result of appending the record that Next returned: its
+// offset, or 0 if the append failed or its outcome isn't known.
+func (k *LeaseKeeper) AppendDone(now time.Time, offset infra.Offset) {
 	k.inFlight = false
-	k.retryAt = now.Add(k.o.Retry)
-	if claim := k.pending; claim != nil {
-		k.pending = nil
+	k.retryAt = now.Add(k.o.RetryDelay)
+	if claim := k.pendingClaim; claim != nil {
+		k.pendingClaim = nil
 		if offset != 0 {
-			k.id, k.readBack, k.from, k.sent = offset, offset, claim.at, nil
+			k.id, k.lastConfirmed, k.validFrom, k.unconfirmed = offset, offset, claim.at, nil
 		}
-	} else if n := len(k.sent); n > 0 && unresolved(k.sent[n-1]) {
-		k.sent[n-1].offset = offset
+	} else if n := len(k.unconfirmed); n > 0 && offsetUnknown(k.unconfirmed[n-1]) {
+		k.unconfirmed[n-1].offset = offset
 	}
-	k.settle()
+	k.updateOwnLease()
 }
 
-func releaseOf(id infra.Offset) *record.Record {
+func releaseRecord(id infra.Offset) *record.Record {
 	return &record.Record{Body: &record.Record_LeaseRelease{LeaseRelease: &record.LeaseRelease{Lease: uint64(id)}}}
 }
 
--- a/control/lease_test.go
+++ b/control/lease_test.go
@@ -10,9 +10,9 @@
 	"greengageferry/replay"
 )
 
-var leaseOptions = LeaseOptions{Holder: "me", Duration: 9 * time.Second, RateBound: 0.01, Stagger: time.Second, Retry: time.Second / 2}
+var leaseOptions = LeaseOptions{Holder: "me", Duration: 9 * time.Second, MaxClockDrift: 0.01, Stagger: time.Second, RetryDelay: time.Second / 2}
 
-// at returns the time that many seconds after the tests' start.
+// at returns the time the given number of seconds after the start of a test.
 func at(seconds float64) time.Time {
 	return time.Unix(0, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
@@ -21,104 +21,104 @@
 	return replay.Lease{ID: id, Holder: holder, DurationMS: 9000, Renewed: renewed}
 }
 
-// holding returns a keeper whose claim, sent at 0, was read back at offset 1.
-func holding(t *testing.T) *LeaseKeeper {
-	k := NewLeaseKeeper(leaseOptions)
-	k.Observe(at(0), 0, replay.Lease{})
-	_, ok := k.Next(at(0), true, 0)
+// holdingKeeper returns a keeper whose claim, sent at 0 s, was read back at offset 1.
+func holdingKeeper(t *testing.T) *LeaseKeeper {
+	keeper := NewLeaseKeeper(leaseOptions)
+	keeper.Observe(at(0), 0, replay.Lease{})
+	_, ok := keeper.Next(at(0), true, 0)
 	require.True(t, ok)
-	k.Done(at(1), 1)
-	require.False(t, k.Holds(at(1), 0), "not read back yet")
-	k.Observe(at(1), 1, leaseAt("me", 1, 1))
-	return k
+	keeper.AppendDone(at(1), 1)
+	require.False(t, keeper.Holds(at(1), 0), "not read back yet")
+	keeper.Observe(at(1), 1, leaseAt("me", 1, 1))
+	return keeper
 }
 
-func TestLeaseCountsFromBeforeItsClaimWasSent(t *testing.T) {
-	k := holding(t)
+func TestLeaseStartsBeforeClaimIsSent(t *testing.T) {
+	k := holdingKeeper(t)
 	require.True(t, k.Holds(at(8.9), 0))
 	require.False(t, k.Holds(at(8.92), 0), "1% less than 9 s after 0")
-	require.False(t, k.Holds(at(7), 2*time.Second), "an order's flight")
+	require.False(t, k.Holds(at(7), 2*time.Second), "less than the margin is left")
 }
 
-func TestRenewalExtendsOnlyOnceReadBack(t *testing.T) {
+func TestRenewalExtendsLeaseOnlyOnceReadBack(t *testing.T) {
 	for _, order := range []string{"answer first", "read back first"} {
 		t.Run(order, func(t *testing.T) {
-			k := holding(t)
+			k := holdingKeeper(t)
 			_, ok := k.Next(at(2.9), true, 0)
-			require.False(t, ok, "not a third yet")
+			require.False(t, ok, "less than a third has passed")
 			_, ok = k.Next(at(3), true, 0)
 			require.True(t, ok)
 			if order == "answer first" {
-				k.Done(at(4), 7)
+				k.AppendDone(at(4), 7)
 				require.False(t, k.Holds(at(9), 0))
 				k.Observe(at(4), 7, leaseAt("me", 1, 7))
 			} else {
 				k.Observe(at(4), 7, leaseAt("me", 1, 7))
-				k.Done(at(4), 7)
+				k.AppendDone(at(4), 7)
 			}
 			require.True(t, k.Holds(at(11.9), 0))
 			require.False(t, k.Holds(at(11.92), 0))
 			_, ok = k.Next(at(5.9), true, 0)
-			require.False(t, ok, "the next one after another third")
+			require.False(t, ok, "the next renewal is due after another third")
 		})
 	}
 }
 
-func TestRenewalWithLostAnswerCountsFromTheEarliestItCanBe(t *testing.T) {
-	k := holding(t)
+func TestRenewalWithLostAnswerCountsFromEarliestSend(t *testing.T) {
+	k := holdingKeeper(t)
 	_, _ = k.Next(at(3), true, 0)
-	k.Done(at(5), 0) // lost: it may be on the log or not
+	k.AppendDone(at(5), 0) // result lost: the renewal may be on the log or not
 	_, ok := k.Next(at(6), true, 0)
 	require.True(t, ok)
-	k.Observe(at(6), 5, leaseAt("me", 1, 5)) // one of the two was read back
+	k.Observe(at(6), 5, leaseAt("me", 1, 5)) // one of the two renewals was read back
 	require.True(t, k.Holds(at(11.9), 0))
-	require.False(t, k.Holds(at(11.92), 0), "it may be the first")
-	k.Done(at(7), 6)
+	require.False(t, k.Holds(at(11.92), 0), "the renewal read back may be the first")
+	k.AppendDone(at(7), 6)
 	k.Observe(at(7), 6, leaseAt("me", 1, 6))
-	require.True(t, k.Holds(at(14.9), 0), "the second is known")
+	require.True(t, k.Holds(at(14.9), 0), "the second renewal's offset is known")
 }
 
-func TestClaimantWaitsTheWholeLeaseAfterItReadTheLastRenewal(t *testing.T) {
+func TestClaimantWaitsFullLeaseAfterLastRenewal(t *testing.T) {
 	k := NewLeaseKeeper(leaseOptions)
 	k.Observe(at(0), 1, leaseAt("other", 1, 1))
 	k.Observe(at(5), 2, leaseAt("other", 1, 2))
 	_, ok := k.Next(at(14), true, 0)
 	require.False(t, ok)
 	_, ok = k.Next(at(14.1), true, 1)
-	require.False(t, ok, "the second rank waits for the first")
+	require.False(t, ok, "rank 1 waits for rank 0")
 	next, ok := k.Next(at(14.1), true, 0)
 	require.True(t, ok)
 	claim := next.Record.GetLeaseClaim()
 	require.EqualValues(t, 1, claim.GetPrevious())
 	require.EqualValues(t, 2, claim.GetLastSeen())
-	k.Done(at(14.2), 9)
-	k.Observe(at(14.2), 9, leaseAt("third", 8, 8)) // it was void
+	k.AppendDone(at(14.2), 9)
+	k.Observe(at(14.2), 9, leaseAt("third", 8, 8)) // another claim took effect; this one was void
 	require.False(t, k.Holds(at(14.2), 0))
 }
 
-func TestClaimIsOnlyForTheLive(t *testing.T) {
+func TestOnlyLiveInstancesClaim(t *testing.T) {
 	k := NewLeaseKeeper(leaseOptions)
 	k.Observe(at(0), 0, replay.Lease{})
 	_, ok := k.Next(at(100), false, 0)
 	require.False(t, ok)
-	k = holding(t)
+	k = holdingKeeper(t)
 	_, ok = k.Next(at(1), false, 0)
-	require.False(t, ok, "the least between two appends")
+	require.False(t, ok, "RetryDelay hasn't passed")
 	next, ok := k.Next(at(2), false, 0)
 	require.True(t, ok)
 	require.EqualValues(t, 1, next.Record.GetLeaseRelease().GetLease())
 }
 
-func TestLeaseInOwnNameOfUnknownStartIsReleased(t *testing.T) {
+func TestLeaseOfEarlierProcessIsReleased(t *testing.T) {
 	k := NewLeaseKeeper(leaseOptions)
-	k.Observe(at(0), 4, leaseAt("me", 4, 4)) // of an earlier process
+	k.Observe(at(0), 4, leaseAt("me", 4, 4)) // claimed by an earlier process
 	require.False(t, k.Holds(at(0), 0))
 	next, ok := k.Next(at(0), true, 0)
 	require.True(t, ok)
 	require.EqualValues(t, 4, next.Record.GetLeaseRelease().GetLease())
 }
 
-func TestFreeLeaseIsClaimedAtOnce(t *testing.T) {
+func TestReleasedLeaseIsClaimedImmediately(t *testing.T) {
 	k := NewLeaseKeeper(leaseOptions)
 	lease := leaseAt("other", 4, 6)
 	lease.Released = true
@@ -128,17 +128,17 @@
 	require.EqualValues(t, 6, next.Record.GetLeaseClaim().GetLastSeen())
 }
 
-func TestHolderWhoseLeaseRanOutRenewsItIfNobodyTookIt(t *testing.T) {
-	k := holding(t)
-	for i := range 40 { // the log is out
+func TestExpiredLeaseIsRenewedIfUnclaimed(t *testing.T) {
+	k := holdingKeeper(t)
+	for i := range 40 { // the log is down
 		_, ok := k.Next(at(20+float64(i)), true, 0)
 		require.True(t, ok)
-		k.Done(at(20.5+float64(i)), 0)
+		k.AppendDone(at(20.5+float64(i)), 0)
 	}
 	require.False(t, k.Holds(at(60), 0))
 	_, ok := k.Next(at(61), true, 0)
 	require.True(t, ok)
-	k.Done(at(61), 2)
+	k.AppendDone(at(61), 2)
 	k.Observe(at(61), 2, leaseAt("me", 1, 2))
 	require.True(t, k.Holds(at(69), 0))
 }
--- a/control/memory_model_test.go
+++ b/control/memory_model_test.go
@@ -12,39 +12,40 @@
 	"greengageferry/replay"
 )
 
-// The model: a log, processes that read it at their own pace and act on what
-// they read, orders in their hands and on the network, which delays, doubles
-// and drops them, and two servers that do as they are told. It has no time:
-// any process may claim the lease at any moment, so what holds in it holds
-// however wrong the clocks are. The records' rules, the reconciler, the removal
-// rule and the orders under way are the code itself.
-
-// broken switches a rule off.
-type broken struct {
-	removal      bool // Removal waits for nothing
-	asking       bool // no orderer is asked about an engine that ignores numbers
-	fence        bool // nothing waits for an engine to have seen the assignment's number
-	statusAfter  bool // Removal rests on a status from before the orderers' word
-	handCounted  bool // an order in a process's hand isn't under way
-	netCounted   bool // an order without an answer isn't under way
-	newest       bool // a process orders from assignments that it knows to be superseded
-	fenceOfOrder bool // an order bears its lease's number, not its assignment's
-	joined       bool // a process orders without having joined
-	idleLeave    bool // a process leaves the orderers with orders under way
-	fits         bool // items from before the first assignment aren't reckoned with
-	fenceKept    bool // an engine that refuses old numbers forgets its number at a restart
+// memoryModel models a log, processes that read the log at their own pace and act
+// on what they read, orders that a process holds or the network delays, duplicates
+// or drops, and servers that execute every order. The model has no time: any
+// process may claim the lease at any moment, so its results hold with arbitrarily
+// wrong clocks. The rules that apply records, reconcile, removableItems and
+// inFlightOrders are the production code.
+
+// disabledRules says which safety rules are disabled. Each comment describes the
+// behavior without the rule.
+type disabledRules struct {
+	removalWait             bool // a removal is recorded without any wait
+	orderersAsked           bool // orderers aren't queried about an engine that ignores fencing tokens
+	fenceSeen               bool // nothing waits until an engine has seen the assignment's fencing token
+	statusAfterConfirmation bool // a removal relies on a status from before the orderers' confirmations
+	countHeldOrders         bool // an order that a process holds doesn't count as in flight
+	countUnansweredOrders   bool // an unanswered order doesn't count as in flight
+	newestAssignment        bool // a process sends orders of assignments that it knows to be superseded
+	assignmentFence         bool // an order carries its lease's offset as fencing token, not its assignment's
+	joined                  bool // a process sends orders without having joined
+	leaveWhenIdle           bool // a process leaves the orderers with orders in flight
+	countUntracked          bool // the memory of items from before the first assignment isn't counted
+	persistentFence         bool // an engine that refuses old fencing tokens loses its token in a restart
 }
 
 type modelEngine struct {
-	id      string
-	ignores bool
-	memory  int64
-	fence   uint64
-	boot    int
-	items   map[infra.Key]infra.Item
+	id        string
+	unfenced  bool // ignores fencing tokens
+	memoryMiB int64
+	fence     uint64
+	boot      int
+	items     map[infra.Key]infra.Item
 }
 
-func (e *modelEngine) taken() int64 {
+func (e *modelEngine) usedMiB() int64 {
 	var out int64
 	for _, i := range e.items {
 		out += i.MiB
@@ -53,8 +54,8 @@
 }
 
 func (e *modelEngine) status() infra.ServerStatus {
-	st := infra.ServerStatus{ID: e.id, Boot: fmt.Sprint(e.boot), MemoryMiB: e.memory}
-	if !e.ignores {
+	st := infra.ServerStatus{ID: e.id, Boot: fmt.Sprint(e.boot), MemoryMiB: e.memoryMiB}
+	if !e.unfenced {
 		st.Fence = e.fence
 	}
 	for _, i := range e.items {
@@ -64,7 +65,7 @@
 }
 
 func (e *modelEngine) arrive(o infra.Order) {
-	if !e.ignores && o.Fence < e.fence {
+	if !e.unfenced && o.Fence < e.fence {
 		return
 	}
 	e.fence = max(e.fence, o.Fence)
@@ -77,57 +78,57 @@
 }
 
 type modelOrder struct {
-	by     *process
-	server string
-	order  infra.Order
-	id     int  // in the process's underWay; 0: not counted
-	sent   bool // on the network; otherwise in the process's hand
+	sender    *process
+	server    string
+	order     infra.Order
+	id        int  // in the process's inFlightOrders; 0: not counted
+	onNetwork bool // on the network; otherwise held by the process before sending
 }
 
 type process struct {
-	id       string
-	machine  *replay.Control
-	view     *replay.ControlView
-	lease    infra.Offset
-	joined   infra.Offset
-	servers  map[string]*server
-	said     map[string]confirmation
-	underWay *underWay
-	known    []replay.Server // every assignment ever read, for the rule newest
+	id             string
+	machine        *replay.Control
+	view           *replay.ControlView
+	ownLease       infra.Offset
+	joined         infra.Offset
+	servers        map[string]*server
+	confirmations  map[string]confirmation
+	inFlightOrders *inFlightOrders
+	assignments    []replay.Server // every assignment ever read, for disabledRules.newestAssignment
 }
 
 func (p *process) applied(now time.Time) infra.Offset {
 	if joined, is := p.view.Orderers[p.id]; is && joined != p.joined {
 		return 0
 	}
-	return p.underWay.floor(now, p.view.Offset)
+	return p.inFlightOrders.lowestAssignment(now, p.view.Offset)
 }
 
-type model struct {
+type memoryModel struct {
 	t         *rapid.T
-	off       broken
+	disabled  disabledRules
 	records   []*record.Record
 	engines   []*modelEngine
 	processes []*process
 	orders    []*modelOrder
-	born      int
+	spawned   int
 	step      int
 }
 
-func (m *model) now() time.Time { return time.Unix(int64(m.step), 0) }
+func (m *memoryModel) now() time.Time { return time.Unix(int64(m.step), 0) }
 
-func (m *model) draw(n int, what string) int { return rapid.IntRange(0, n-1).Draw(m.t, what) }
+func (m *memoryModel) draw(n int, what string) int { return rapid.IntRange(0, n-1).Draw(m.t, what) }
 
-func (m *model) append(body *record.Record) infra.Offset {
+func (m *memoryModel) append(body *record.Record) infra.Offset {
 	m.records = append(m.records, body)
 	return infra.Offset(len(m.records))
 }
 
-func (m *model) spawn() {
-	m.born++
+func (m *memoryModel) spawn() {
+	m.spawned++
 	p := &process{
-		id: fmt.Sprint("p", m.born), machine: replay.NewControl(),
-		servers: map[string]*server{}, said: map[string]confirmation{}, underWay: newUnderWay(0),
+		id: fmt.Sprint("p", m.spawned), machine: replay.NewControl(),
+		servers: map[string]*server{}, confirmations: map[string]confirmation{}, inFlightOrders: newInFlightOrders(0),
 	}
 	for _, e := range m.engines {
 		p.servers[e.id] = newServer(e.id)
@@ -136,29 +137,29 @@
 	m.read(p)
 }
 
-// read brings the process to the log's end.
-func (m *model) read(p *process) {
+// read lets the process read to the end of the log.
+func (m *memoryModel) read(p *process) {
 	for int(p.machine.Offset()) < len(m.records) {
 		next := p.machine.Offset() + 1
 		p.machine.Apply(next, m.records[next-1])
 		if m.records[next-1].GetAssignment() != nil {
 			if s := p.machine.View().Servers[m.records[next-1].GetAssignment().Server]; s != nil && s.Assignment == next {
-				p.known = append(p.known, *s)
+				p.assignments = append(p.assignments, *s)
 			}
 		}
 	}
 	p.view = p.machine.View()
 	for id, want := range p.view.Servers {
-		p.servers[id].assigned(m.now(), want)
+		p.servers[id].observeAssignment(m.now(), want)
 	}
 }
 
-func (m *model) claim(p *process) {
+func (m *memoryModel) claim(p *process) {
 	l := p.view.Lease
 	offset := m.append(&record.Record{Body: &record.Record_LeaseClaim{LeaseClaim: &record.LeaseClaim{
 		Holder: p.id, DurationMs: 1, Previous: uint64(l.ID), LastSeen: uint64(l.Renewed),
 	}}})
-	p.lease = offset
+	p.ownLease = offset
 	m.read(p)
 }
 
@@ -166,8 +167,8 @@
 	{Model: "a", Version: "1", MiB: 2}, {Model: "b", Version: "1", MiB: 2}, {Model: "c", Version: "1", MiB: 1},
 }
 
-// assignAny assigns one item, or none.
-func (m *model) assignAny(p *process, e *modelEngine) {
+// assignRandomItem assigns one item, or none.
+func (m *memoryModel) assignRandomItem(p *process, e *modelEngine) {
 	var items []infra.Item
 	if i := m.draw(len(modelItems)+2, "item"); i < len(modelItems) {
 		items = append(items, modelItems[i])
@@ -175,126 +176,129 @@
 	m.assign(p, e, items...)
 }
 
-func (m *model) assign(p *process, e *modelEngine, items ...infra.Item) {
-	if !m.off.fits && !replay.Fits(e.memory, items, p.servers[e.id].foreign(p.view.Servers[e.id])) {
+func (m *memoryModel) assign(p *process, e *modelEngine, items ...infra.Item) {
+	if !m.disabled.countUntracked && !replay.Fits(e.memoryMiB, items, p.servers[e.id].untrackedItems(p.view.Servers[e.id])) {
 		return
 	}
 	m.append(&record.Record{Body: &record.Record_Assignment{Assignment: &record.Assignment{
-		Lease: uint64(p.lease), Server: e.id, MemoryMib: e.memory, Items: replay.ItemRecords(items),
+		Lease: uint64(p.ownLease), Server: e.id, MemoryMib: e.memoryMiB, Items: replay.ItemRecords(items),
 	}}})
 }
 
-func (m *model) poll(p *process, e *modelEngine) { p.servers[e.id].polled(m.now(), e.status()) }
+func (m *memoryModel) poll(p *process, e *modelEngine) {
+	p.servers[e.id].pollDone(m.now(), e.status())
+}
 
-func (m *model) remove(p *process, e *modelEngine) {
+func (m *memoryModel) remove(p *process, e *modelEngine) {
 	s, want := p.servers[e.id], p.view.Servers[e.id]
 	if want == nil || s.status == nil {
 		return
 	}
-	if e.ignores && s.confirmedFor != want.Assignment && len(unconfirmed(p.view, want.Assignment, p.said)) == 0 {
-		s.confirmedFor, s.confirmedAt = want.Assignment, m.now()
+	if e.unfenced && s.confirmedAssignment != want.Assignment && len(unconfirmedOrderers(p.view, want.Assignment, p.confirmations)) == 0 {
+		s.confirmedAssignment, s.confirmedAt = want.Assignment, m.now()
 	}
-	gone := removable(m.seenBy(p, s, want), want, e.ignores)
-	if m.off.removal {
-		gone = want.Lingering
+	removed := removableItems(m.alteredServer(p, s, want), want, e.unfenced)
+	if m.disabled.removalWait {
+		removed = want.Lingering
 	}
-	if len(gone) == 0 {
+	if len(removed) == 0 {
 		return
 	}
 	m.append(&record.Record{Body: &record.Record_Removal{Removal: &record.Removal{
-		Lease: uint64(p.lease), Server: e.id, Assignment: uint64(want.Assignment), Items: replay.ItemRecords(gone),
+		Lease: uint64(p.ownLease), Server: e.id, Assignment: uint64(want.Assignment), Items: replay.ItemRecords(removed),
 	}}})
 }
 
-// seenBy returns what the process knows of the server, altered so that the
-// rules that are off are met.
-func (m *model) seenBy(p *process, s *server, want *replay.Server) *server {
+// alteredServer returns a copy of the process's state of the server, altered so
+// that the disabled rules always pass.
+func (m *memoryModel) alteredServer(p *process, s *server, want *replay.Server) *server {
 	altered := *s
 	if s.status == nil {
 		return &altered
 	}
 	status := *s.status
 	altered.status = &status
-	if m.off.fence || m.off.fenceOfOrder && status.Fence >= uint64(p.view.Lease.ID) {
+	if m.disabled.fenceSeen || m.disabled.assignmentFence && status.Fence >= uint64(p.view.Lease.ID) {
 		status.Fence = uint64(want.Assignment)
 	}
-	if m.off.asking {
-		altered.confirmedFor, altered.confirmedAt = want.Assignment, time.Time{}
+	if m.disabled.orderersAsked {
+		altered.confirmedAssignment, altered.confirmedAt = want.Assignment, time.Time{}
 	}
-	if m.off.statusAfter {
+	if m.disabled.statusAfterConfirmation {
 		altered.confirmedAt = time.Time{}
 	}
-	if m.off.fits {
+	if m.disabled.countUntracked {
 		status.Items = slices.DeleteFunc(slices.Clone(status.Items), func(r infra.ResidentItem) bool {
-			return !holds(want.Assigned, r.Key()) && !holds(want.Lingering, r.Key())
+			return !containsItem(want.Assigned, r.Key()) && !containsItem(want.Lingering, r.Key())
 		})
 	}
 	return &altered
 }
 
-func (m *model) ask(p, q *process) {
-	joined, is := p.view.Orderers[q.id]
+func (m *memoryModel) queryApplied(p, q *process) {
+	joinOffset, is := p.view.Orderers[q.id]
 	if !is {
 		return
 	}
 	offset := q.applied(m.now())
-	p.said[q.id] = confirmation{joined: joined, offset: offset}
+	p.confirmations[q.id] = confirmation{joinOffset: joinOffset, offset: offset}
 }
 
-// begin takes an order in hand: it is noted as under way, and then checked.
-func (m *model) begin(p *process, e *modelEngine, choose func(n int, what string) int) *modelOrder {
-	may := p.joined != 0 && p.view.Orderers[p.id] == p.joined
+// begin lets the process prepare an order: the order is added to those in flight
+// and held until the network step that sends it.
+func (m *memoryModel) begin(p *process, e *modelEngine, choose func(n int, what string) int) *modelOrder {
+	mayOrder := p.joined != 0 && p.view.Orderers[p.id] == p.joined
 	want := p.view.Servers[e.id]
-	if !may && !m.off.joined || want == nil {
+	if !mayOrder && !m.disabled.joined || want == nil {
 		return nil
 	}
-	if m.off.newest {
-		of := slices.DeleteFunc(slices.Clone(p.known), func(s replay.Server) bool { return s.ID != e.id })
-		want = &of[choose(len(of), "old assignment")]
+	if m.disabled.newestAssignment {
+		ofServer := slices.DeleteFunc(slices.Clone(p.assignments), func(s replay.Server) bool { return s.ID != e.id })
+		want = &ofServer[choose(len(ofServer), "old assignment")]
 		p.servers[e.id].assignment = want.Assignment
 		defer func() { p.servers[e.id].assignment = p.view.Servers[e.id].Assignment }()
 	}
-	seen := m.seenBy(p, p.servers[e.id], want)
-	clear(seen.sent)
-	far := m.now().Add(time.Hour) // the delays of orders are for routers, not for memory
-	due := reconcile(far, Limits{}.withDefaults(), seen, want, e.ignores)
+	altered := m.alteredServer(p, p.servers[e.id], want)
+	clear(altered.sent)
+	later := m.now().Add(time.Hour) // skips UnloadDelay, which serves routers and not memory
+	due := reconcile(later, Limits{}.withDefaults(), altered, want, e.unfenced)
 	if len(due) == 0 {
 		return nil
 	}
-	o := &modelOrder{by: p, server: e.id, order: due[choose(len(due), "order")].order}
-	if !m.off.handCounted {
-		o.id = p.underWay.begin(want.Assignment)
+	o := &modelOrder{sender: p, server: e.id, order: due[choose(len(due), "order")].order}
+	if !m.disabled.countHeldOrders {
+		o.id = p.inFlightOrders.begin(want.Assignment)
 	}
-	if m.off.fenceOfOrder {
+	if m.disabled.assignmentFence {
 		o.order.Fence = uint64(p.view.Lease.ID)
 	}
 	m.orders = append(m.orders, o)
 	return o
 }
 
-func (m *model) orderStep(o *modelOrder) {
-	if !o.sent {
-		o.sent = true
+func (m *memoryModel) advanceOrder(o *modelOrder) {
+	if !o.onNetwork {
+		o.onNetwork = true
 		return
 	}
-	fate := m.draw(4, "fate") // lost; arrived, with a copy to come; arrived; late, its call given up
+	fate := m.draw(4, "fate") // 0: lost; 1: arrived, with a copy to follow; 2: arrived; 3: late, its call timed out
 	if fate == 1 || fate == 2 {
 		m.engines[0].arrive(o.order)
 	}
 	if fate == 0 || fate == 2 {
-		m.ended(o)
-	} else if m.off.netCounted {
-		o.by.underWay.end(m.now(), o.id, true)
+		m.finishOrder(o)
+	} else if m.disabled.countUnansweredOrders {
+		o.sender.inFlightOrders.end(m.now(), o.id, true)
 	}
 }
 
-// ended takes the last copy of an order off the network.
-func (m *model) ended(o *modelOrder) {
+// finishOrder removes the last copy of an order from the network.
+func (m *memoryModel) finishOrder(o *modelOrder) {
 	m.orders = slices.DeleteFunc(m.orders, func(other *modelOrder) bool { return other == o })
-	o.by.underWay.end(m.now(), o.id, true)
+	o.sender.inFlightOrders.end(m.now(), o.id, true)
 }
 
-func (m *model) join(p *process) {
+func (m *memoryModel) join(p *process) {
 	if _, is := p.view.Orderers[p.id]; is {
 		return
 	}
@@ -302,50 +306,51 @@
 	m.read(p)
 }
 
-func (m *model) leave(p *process) {
-	own := func(o *modelOrder) bool { return o.by == p }
-	if _, is := p.view.Orderers[p.id]; !is || slices.ContainsFunc(m.orders, own) && !m.off.idleLeave {
+func (m *memoryModel) leave(p *process) {
+	own := func(o *modelOrder) bool { return o.sender == p }
+	if _, is := p.view.Orderers[p.id]; !is || slices.ContainsFunc(m.orders, own) && !m.disabled.leaveWhenIdle {
 		return
 	}
-	m.append(leaveOf(p.id))
+	m.append(leaveRecord(p.id))
 	p.joined = 0
 }
 
-// replace ends a process for good: what it had sent has long arrived or never
-// will, the list has lost it, and the lease's holder says that it has left.
-func (m *model) replace(i int) {
+// replaceProcess ends a process for good and starts another. The orders that it
+// sent have arrived or never will, it is off the list, and the lease holder has
+// appended its leave.
+func (m *memoryModel) replaceProcess(i int) {
 	p := m.processes[i]
-	m.orders = slices.DeleteFunc(m.orders, func(o *modelOrder) bool { return o.by == p })
+	m.orders = slices.DeleteFunc(m.orders, func(o *modelOrder) bool { return o.sender == p })
 	m.processes = slices.Delete(m.processes, i, i+1)
-	m.append(leaveOf(p.id))
+	m.append(leaveRecord(p.id))
 	m.spawn()
 }
 
-func (m *model) restart(e *modelEngine) {
+func (m *memoryModel) restart(e *modelEngine) {
 	e.boot++
 	clear(e.items)
-	if m.off.fenceKept {
+	if m.disabled.persistentFence {
 		e.fence = 0
 	}
 }
 
-// progress lets the process do what a lease holder would do next.
-func (m *model) progress(p *process, e *modelEngine) {
+// actAsHolder lets the process do what a lease holder would do next.
+func (m *memoryModel) actAsHolder(p *process, e *modelEngine) {
 	want := p.view.Servers[e.id]
 	if want == nil || len(want.Lingering) == 0 {
-		m.assignAny(p, e)
+		m.assignRandomItem(p, e)
 		return
 	}
 	for _, q := range m.processes {
-		m.ask(p, q)
+		m.queryApplied(p, q)
 	}
 	m.remove(p, e)
-	m.step++ // what is seen from here on was seen after the orderers' word
+	m.step++ // the next status is later than the confirmations
 	m.poll(p, e)
 	m.remove(p, e)
 }
 
-func (m *model) act() {
+func (m *memoryModel) randomAction() {
 	p := m.processes[m.draw(len(m.processes), "process")]
 	e := m.engines[0]
 	if m.draw(4, "reads") > 0 {
@@ -353,7 +358,7 @@
 	}
 	switch what := m.draw(24, "action"); {
 	case what < 8:
-		m.progress(p, e)
+		m.actAsHolder(p, e)
 	case what < 14:
 		if m.draw(2, "looks") > 0 {
 			m.poll(p, e)
@@ -361,11 +366,11 @@
 		m.begin(p, e, m.draw)
 	case what < 19:
 		if len(m.orders) > 0 {
-			m.orderStep(m.orders[m.draw(len(m.orders), "which")])
+			m.advanceOrder(m.orders[m.draw(len(m.orders), "which")])
 		}
 	case what == 19:
 		m.remove(p, e)
-		m.ask(p, m.processes[m.draw(len(m.processes), "asked")])
+		m.queryApplied(p, m.processes[m.draw(len(m.processes), "asked")])
 	case what == 20:
 		m.restart(e)
 	case what == 21:
@@ -375,6 +380,6 @@
 	case m.draw(4, "leave") > 0:
 		m.leave(p)
 	default:
-		m.replace(slices.Index(m.processes, p))
+		m.replaceProcess(slices.Index(m.processes, p))
 	}
 }
--- a/control/memory_test.go
+++ b/control/memory_test.go
@@ -14,8 +14,8 @@
 	"greengageferry/infra"
 )
 
-// TestMain fixes the seed of the property tests; -rapid.seed on the command
-// line goes before it. One processor: see package testmain.
+// TestMain fixes the seed of the property tests, which -rapid.seed on the command
+// line overrides. For GOMAXPROCS(1) see package testmain.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.nofailfile": "true"} {
@@ -31,14 +31,14 @@
 	os.Exit(code)
 }
 
-// modelSteps is the length of one run: long enough for the rules below to be
-// found missing.
+// modelSteps is the number of steps in a run: enough for
+// TestMemoryModelDetectsDisabledRules to detect each rule.
 const modelSteps = 120
 
-// newModel returns a model of one server and two orderers, the first of which
-// holds the lease.
-func newModel(off broken, e *modelEngine) *model {
-	m := &model{off: off, engines: []*modelEngine{e}}
+// newMemoryModel returns a model of one server and two orderers, the first of
+// which holds the lease.
+func newMemoryModel(disabled disabledRules, engine *modelEngine) *memoryModel {
+	m := &memoryModel{disabled: disabled, engines: []*modelEngine{engine}}
 	for range 2 {
 		m.spawn()
 	}
@@ -50,143 +50,147 @@
 	return m
 }
 
-// overcommitted runs the model and says whether a server's memory ever was.
-func overcommitted(t *rapid.T, off broken) string {
-	e := &modelEngine{id: "s", memory: 2, ignores: rapid.Bool().Draw(t, "ignores"), items: map[infra.Key]infra.Item{}}
+// findOvercommitment runs the model with random actions and describes the first
+// overcommitment of the server's memory, or returns "".
+func findOvercommitment(t *rapid.T, disabled disabledRules) string {
+	engine := &modelEngine{id: "s", memoryMiB: 2, unfenced: rapid.Bool().Draw(t, "ignores"), items: map[infra.Key]infra.Item{}}
 	if rapid.Bool().Draw(t, "stray") {
 		stray := infra.Item{Model: "stray", Version: "1", MiB: 1}
-		e.items[stray.Key()] = stray
+		engine.items[stray.Key()] = stray
 	}
-	m := newModel(off, e)
+	m := newMemoryModel(disabled, engine)
 	m.t = t
 	for range modelSteps {
 		m.step++
-		m.act()
-		if e.taken() > e.memory {
-			return fmt.Sprintf("%d of %d MiB after step %d, ignores=%t", e.taken(), e.memory, m.step, e.ignores)
+		m.randomAction()
+		if engine.usedMiB() > engine.memoryMiB {
+			return fmt.Sprintf("%d of %d MiB after step %d, ignores=%t", engine.usedMiB(), engine.memoryMiB, m.step, engine.unfenced)
 		}
 	}
 	return ""
 }
 
-// modelRuns is how many runs each check makes. With the rule off that is
-// hardest to find, it takes 1,075.
+// modelRuns is the number of runs of each check. The disabled rule that is hardest
+// to detect takes 1,075 runs.
 const modelRuns = 1200
 
-// firstOvercommitment returns the first run that goes wrong with the rules off,
-// or "". Runs are a function of their number.
-func firstOvercommitment(off broken) string {
-	run := rapid.Custom(func(t *rapid.T) string { return overcommitted(t, off) })
+// firstOvercommitment describes the first run with an overcommitment while the
+// rules are disabled, or returns "". Each run is determined by its number.
+func firstOvercommitment(disabled disabledRules) string {
+	run := rapid.Custom(func(t *rapid.T) string { return findOvercommitment(t, disabled) })
 	for seed := range modelRuns {
-		if over := run.Example(seed); over != "" {
-			return fmt.Sprintf("run %d: %s", seed, over)
+		if overcommitment := run.Example(seed); overcommitment != "" {
+			return fmt.Sprintf("run %d: %s", seed, overcommitment)
 		}
 	}
 	return ""
 }
 
 func TestMemoryIsNeverOvercommitted(t *testing.T) {
-	require.Empty(t, firstOvercommitment(broken{}))
+	require.Empty(t, firstOvercommitment(disabledRules{}))
 }
 
-// TestMemoryModelBites: with any one rule off, the model finds a server
-// overcommitted. So the check above would see that rule missing.
-func TestMemoryModelBites(t *testing.T) {
-	rules := map[string]broken{
-		"removal": {removal: true}, "asking": {asking: true}, "fence": {fence: true},
-		"hand counted": {handCounted: true}, "net counted": {netCounted: true}, "newest": {newest: true},
-		"fence of order": {fenceOfOrder: true}, "joined": {joined: true}, "idle leave": {idleLeave: true}, "fits": {fits: true},
+// TestMemoryModelDetectsDisabledRules checks that the model finds an
+// overcommitment with any one of the rules disabled, so that
+// TestMemoryIsNeverOvercommitted would fail if the code lacked that rule.
+func TestMemoryModelDetectsDisabledRules(t *testing.T) {
+	rules := map[string]disabledRules{
+		"removal": {removalWait: true}, "asking": {orderersAsked: true}, "fence": {fenceSeen: true},
+		"hand counted": {countHeldOrders: true}, "net counted": {countUnansweredOrders: true}, "newest": {newestAssignment: true},
+		"fence of order": {assignmentFence: true}, "joined": {joined: true}, "idle leave": {leaveWhenIdle: true}, "fits": {countUntracked: true},
 	}
 	for name, off := range rules {
 		t.Run(name, func(t *testing.T) {
 			over := firstOvercommitment(off)
-			require.NotEmpty(t, over, "the model doesn't see that this rule is off")
+			require.NotEmpty(t, over, "the model doesn't detect that this rule is disabled")
 			t.Log(over)
 		})
 	}
 }
 
-func first(int, string) int { return 0 }
+// chooseFirst is a choose function for memoryModel.begin.
+func chooseFirst(int, string) int { return 0 }
 
-// carryOut has the process look, take its first due order in hand, and bring it
-// to the server.
-func (m *model) carryOut(p *process, e *modelEngine) {
+// executeNextOrder lets the process read the log, poll the server and deliver its
+// first due order.
+func (m *memoryModel) executeNextOrder(p *process, e *modelEngine) {
 	m.step++
 	m.read(p)
 	m.poll(p, e)
-	if o := m.begin(p, e, first); o != nil {
+	if o := m.begin(p, e, chooseFirst); o != nil {
 		e.arrive(o.order)
-		m.ended(o)
+		m.finishOrder(o)
 	}
 	m.step++
 	m.poll(p, e)
 }
 
-// The two rules below come to bear only in runs too long to be met by chance,
-// so their runs are written out. Each is safe with the rule on.
+// The rules statusAfterConfirmation and persistentFence matter only in runs that
+// random actions are unlikely to reach, so the two functions below fix the runs.
+// With the rule enabled, neither run overcommits the server.
 
-func statusBeforeTheOrderersWord(off broken) *modelEngine {
-	e := &modelEngine{id: "s", memory: 2, ignores: true, items: map[infra.Key]infra.Item{}}
-	m := newModel(off, e)
+func runStatusBeforeConfirmation(disabled disabledRules) *modelEngine {
+	e := &modelEngine{id: "s", memoryMiB: 2, unfenced: true, items: map[infra.Key]infra.Item{}}
+	m := newMemoryModel(disabled, e)
 	holder, other := m.processes[0], m.processes[1]
 	m.assign(holder, e, modelItems[0])
 	m.read(other)
 	m.poll(other, e)
-	late := m.begin(other, e, first)
+	late := m.begin(other, e, chooseFirst)
 	m.read(holder)
-	m.poll(holder, e) // the item isn't there
+	m.poll(holder, e) // the item isn't resident
 	m.assign(holder, e)
 	m.read(holder)
 	m.read(other)
 	e.arrive(late.order)
-	m.ended(late)
+	m.finishOrder(late)
 	m.step++
-	m.ask(holder, holder)
-	m.ask(holder, other)
+	m.queryApplied(holder, holder)
+	m.queryApplied(holder, other)
 	m.remove(holder, e)
 	m.read(holder)
 	m.assign(holder, e, modelItems[1])
 	m.read(holder)
-	if o := m.begin(holder, e, first); o != nil {
+	if o := m.begin(holder, e, chooseFirst); o != nil {
 		e.arrive(o.order)
 	}
 	return e
 }
 
-func numberForgottenAtARestart(off broken) *modelEngine {
-	e := &modelEngine{id: "s", memory: 2, items: map[infra.Key]infra.Item{}}
-	m := newModel(off, e)
+func runFenceForgottenAtRestart(disabled disabledRules) *modelEngine {
+	e := &modelEngine{id: "s", memoryMiB: 2, items: map[infra.Key]infra.Item{}}
+	m := newMemoryModel(disabled, e)
 	holder, other := m.processes[0], m.processes[1]
 	m.assign(holder, e, modelItems[0])
-	m.carryOut(other, e) // the fence
-	late := m.begin(other, e, first)
+	m.executeNextOrder(other, e) // the fence order
+	late := m.begin(other, e, chooseFirst)
 	m.read(holder)
 	m.assign(holder, e)
-	m.carryOut(holder, e)
+	m.executeNextOrder(holder, e)
 	m.remove(holder, e)
 	m.read(holder)
 	m.assign(holder, e, modelItems[1])
-	m.carryOut(holder, e)
-	load := m.begin(holder, e, first)
+	m.executeNextOrder(holder, e)
+	load := m.begin(holder, e, chooseFirst)
 	m.restart(e)
 	e.arrive(late.order)
 	e.arrive(load.order)
 	return e
 }
 
-func TestMemoryModelBitesInRunsWrittenOut(t *testing.T) {
+func TestMemoryModelDetectsDisabledRulesInFixedRuns(t *testing.T) {
 	runs := map[string]struct {
-		run func(off broken) *modelEngine
-		off broken
+		run func(off disabledRules) *modelEngine
+		off disabledRules
 	}{
-		"status after": {statusBeforeTheOrderersWord, broken{statusAfter: true}},
-		"fence kept":   {numberForgottenAtARestart, broken{fenceKept: true}},
+		"status after": {runStatusBeforeConfirmation, disabledRules{statusAfterConfirmation: true}},
+		"fence kept":   {runFenceForgottenAtRestart, disabledRules{persistentFence: true}},
 	}
 	for name, r := range runs {
 		t.Run(name, func(t *testing.T) {
-			on, off := r.run(broken{}), r.run(r.off)
-			require.LessOrEqual(t, on.taken(), on.memory)
-			require.Greater(t, off.taken(), off.memory)
+			on, off := r.run(disabledRules{}), r.run(r.off)
+			require.LessOrEqual(t, on.usedMiB(), on.memoryMiB)
+			require.Greater(t, off.usedMiB(), off.memoryMiB)
 		})
 	}
 }
--- a/control/orders.go
+++ b/control/orders.go
@@ -8,61 +8,60 @@
 	"greengageferry/infra"
 )
 
-// due is an order that is due on a server.
-type due struct {
-	s       *server
-	w       wanted
-	ignores bool
-	rank    int
+// dueOrder is an order that may be sent to a server now.
+type dueOrder struct {
+	target   *server
+	needed   neededOrder
+	unfenced bool // the engine ignores fencing tokens
+	rank     int
 }
 
-// The ranks of orders. What frees memory or can wait for nothing costs no load,
-// so it goes first; then each model's first replica, then the others.
+// The ranks of orders, in sending order: fences and unloads, which cost the
+// weight stores no load; loads of a target's first replica; other loads.
 const (
 	rankNoLoad = iota
-	rankFirst
-	rankMore
+	rankFirstReplica
+	rankMoreReplicas
 )
 
-// orderAll collects the orders that are due on the servers chosen, loads within
-// the stores' limits.
-//
-// The load it is for: a domain whose servers all came back empty, with more
-// loads than its part of a store allows for minutes. The harm prevented: second
-// replicas of some models loaded before the only ones of others.
-func (c *core) orderAll(now time.Time, a *actions, underLog bool, chosen []string) {
-	if !c.member.may(c.view) {
+// addDueOrders adds the orders that are due on the servers to the actions, by
+// rank, with loads within the stores' limits. If all servers of a domain restart
+// empty, there are more loads than its share of a store allows for minutes; the
+// ranks keep some models' second replicas from loading before the only replicas
+// of others.
+func (c *core) addDueOrders(now time.Time, a *actions, byHolder bool, serverIDs []string) {
+	if !c.member.mayOrder(c.view) {
 		return
 	}
-	due := c.allDue(now, chosen)
+	due := c.dueOrders(now, serverIDs)
 	if len(due) == 0 {
 		return
 	}
-	loading := c.loading(now)
+	loadsInProgress := c.loadsInProgress(now)
 	for _, d := range due {
-		kind := d.w.order.Kind
-		if !underLog && kind == infra.OrderUnload {
-			continue // a restoring brings back, and takes nothing away
+		kind := d.needed.order.Kind
+		if !byHolder && kind == infra.OrderUnload {
+			continue // restoring only loads; it never unloads
 		}
-		if kind == infra.OrderLoad && !c.mayLoad(now, d.w.order.Item, loading) {
+		if kind == infra.OrderLoad && !c.reserveLoad(now, d.needed.order.Item, loadsInProgress) {
 			continue
 		}
-		c.note(now, d.s, d.w)
-		a.orders = append(a.orders, orderOut{server: d.s.id, addr: d.s.addr, order: d.w.order, underLog: underLog, ignores: d.ignores})
-		c.logOrder(d.s, d.w, underLog)
+		c.recordSent(now, d.target, d.needed)
+		a.orders = append(a.orders, outgoingOrder{server: d.target.id, addr: d.target.addr, order: d.needed.order, byHolder: byHolder, unfenced: d.unfenced})
+		c.logOrder(d.target, d.needed, byHolder)
 	}
 }
 
-func (c *core) allDue(now time.Time, chosen []string) []due {
-	var out []due
-	for _, id := range chosen {
-		s, want := c.servers[id], c.view.Servers[id]
-		if s == nil || want == nil || s.addr == "" || s.failures > 0 {
+func (c *core) dueOrders(now time.Time, serverIDs []string) []dueOrder {
+	var out []dueOrder
+	for _, id := range serverIDs {
+		target, want := c.servers[id], c.view.Servers[id]
+		if target == nil || want == nil || target.addr == "" || target.failures > 0 {
 			continue
 		}
-		ignores := c.ignoresFence(want.Pool)
-		for _, w := range reconcile(now, c.l, s, want, ignores) {
-			out = append(out, due{s: s, w: w, ignores: ignores})
+		unfenced := c.ignoresFence(want.Pool)
+		for _, needed := range reconcile(now, c.limits, target, want, unfenced) {
+			out = append(out, dueOrder{target: target, needed: needed, unfenced: unfenced})
 		}
 	}
 	if len(out) > 1 {
@@ -71,49 +70,51 @@
 	return out
 }
 
-// rankOrders sorts the orders by rank; ready has the names that are served, and
-// gets those that are now going to be.
-func rankOrders(orders []due, ready map[string]bool) {
+// rankOrders sets the orders' ranks and sorts by them. ready has the target names
+// that are served; rankOrders adds those that the orders load.
+func rankOrders(orders []dueOrder, ready map[string]bool) {
 	for i, d := range orders {
-		name := nameOf(d.w.order.Item)
+		name := targetName(d.needed.order.Item)
 		switch {
-		case d.w.order.Kind != infra.OrderLoad:
+		case d.needed.order.Kind != infra.OrderLoad:
 			orders[i].rank = rankNoLoad
 		case ready[name]:
-			orders[i].rank = rankMore
+			orders[i].rank = rankMoreReplicas
 		default:
-			orders[i].rank = rankFirst
+			orders[i].rank = rankFirstReplica
 			ready[name] = true
 		}
 	}
-	slices.SortStableFunc(orders, func(a, b due) int { return cmp.Compare(a.rank, b.rank) })
+	slices.SortStableFunc(orders, func(a, b dueOrder) int { return cmp.Compare(a.rank, b.rank) })
 }
 
-// readyNames returns what the domain serves, by name.
+// readyNames returns the target names that the domain serves.
 func (c *core) readyNames() map[string]bool {
 	out := map[string]bool{}
 	for _, s := range c.view.Servers {
 		for _, i := range s.Ready {
-			out[nameOf(i)] = true
+			out[targetName(i)] = true
 		}
 	}
 	return out
 }
 
-func (c *core) mayLoad(now time.Time, i infra.Item, loading map[string]int) bool {
+// reserveLoad reports whether the item may be loaded within its store's limits,
+// and counts the load if so.
+func (c *core) reserveLoad(now time.Time, i infra.Item, inProgress map[string]int) bool {
 	partner := c.owner(i)
-	if !c.pace.take(now, partner, loading[partner]) {
-		c.add("loads_paced")
+	if !c.limiter.allow(now, partner, inProgress[partner]) {
+		c.increment("loads_paced")
 		return false
 	}
-	loading[partner]++
+	inProgress[partner]++
 	return true
 }
 
-// loading counts the loads under way by partner: those that a status shows,
-// and those ordered that none shows yet. One that had its time to show counts
-// as lost: it is due again.
-func (c *core) loading(now time.Time) map[string]int {
+// loadsInProgress counts the loads in progress, by partner: those that a status
+// shows, and those ordered that no status shows yet. An ordered load that is due
+// again counts as lost.
+func (c *core) loadsInProgress(now time.Time) map[string]int {
 	out := map[string]int{}
 	for _, s := range c.servers {
 		if s.status == nil {
@@ -125,7 +126,7 @@
 			}
 		}
 		for key, o := range s.sent {
-			if key.kind == infra.OrderLoad && !s.due(now, c.l, key) {
+			if key.kind == infra.OrderLoad && !s.isDue(now, c.limits, key) {
 				out[c.owner(o.item)]++
 			}
 		}
@@ -144,8 +145,8 @@
 	return c.cfg.Models[i.Model].Owner
 }
 
-func (c *core) note(now time.Time, s *server, w wanted) {
-	key := orderKey{kind: w.order.Kind, item: w.order.Item.Key()}
+func (c *core) recordSent(now time.Time, s *server, needed neededOrder) {
+	key := orderKey{kind: needed.order.Kind, item: needed.order.Item.Key()}
 	tries := s.sent[key].tries + 1
-	s.sent[key] = sentOrder{item: w.order.Item, fence: infra.Offset(w.order.Fence), at: now, tries: tries}
+	s.sent[key] = sentOrder{item: needed.order.Item, fence: infra.Offset(needed.order.Fence), at: now, tries: tries}
 }
--- a/control/plan.go
+++ b/control/plan.go
@@ -13,66 +13,67 @@
 	"greengageferry/replay"
 )
 
-// gathered is what a plan needs and that has to be asked for.
-type gathered struct {
-	demand    map[string]decide.Demand
-	loads     map[string]infra.Load // by server
-	stores    map[string]infra.StoreLimits
-	storeDown bool // no store told its limits
+// planData is the input of a plan that is collected from other instances and
+// from the weight stores.
+type planData struct {
+	demand        map[string]decide.Demand     // by model or adapter name
+	loads         map[string]infra.Load        // by server
+	stores        map[string]infra.StoreLimits // by partner
+	allStoresDown bool                         // no store returned its limits
 }
 
-// planInput puts together what the planner decides on.
+// planInput returns the planner's input.
 func (c *core) planInput(now time.Time, cfg *config.Config) decide.PlanInput {
 	in := decide.PlanInput{
 		Now:       now,
 		Domain:    c.domain,
 		Config:    cfg,
-		Demand:    c.gathered.demand,
-		Elsewhere: elsewhere(c.others),
+		Demand:    c.planData.demand,
+		Elsewhere: otherDomainReplicas(c.otherViews),
 		Domains:   serverDomains(c.list),
-		Stores:    c.pace.stores(),
-		StoreDown: c.gathered.storeDown,
+		Stores:    c.limiter.storeLimits(),
+		StoreDown: c.planData.allStoresDown,
 	}
-	for _, line := range c.engines {
-		in.Servers = append(in.Servers, c.planServer(now, cfg, line))
+	for _, instance := range c.engines {
+		in.Servers = append(in.Servers, c.planServer(now, cfg, instance))
 	}
 	return in
 }
 
-func (c *core) planServer(now time.Time, cfg *config.Config, line infra.Instance) decide.PlanServer {
-	s := c.servers[line.ID]
-	pool := cfg.Pools[line.Pool]
+func (c *core) planServer(now time.Time, cfg *config.Config, instance infra.Instance) decide.PlanServer {
+	s := c.servers[instance.ID]
+	pool := cfg.Pools[instance.Pool]
 	out := decide.PlanServer{
-		ID:        line.ID,
-		Pool:      line.Pool,
-		MemoryMiB: smallest(line.MemoryMiB, pool.MemoryMiB, s.memory()),
+		ID:        instance.ID,
+		Pool:      instance.Pool,
+		MemoryMiB: minKnown(instance.MemoryMiB, pool.MemoryMiB, s.memoryMiB()),
 		Slots:     pool.Slots,
 		Leaving:   s.leaving(),
 		Reachable: s.status != nil && s.failures == 0,
-		Since:     maps.Clone(s.since),
-		Load:      c.gathered.loads[line.ID],
+		Since:     maps.Clone(s.assignedAt),
+		Load:      c.planData.loads[instance.ID],
 	}
-	want := c.view.Servers[line.ID]
+	want := c.view.Servers[instance.ID]
 	if want != nil {
 		out.Assigned, out.Ready = want.Assigned, want.Ready
 		out.Lingering = want.Lingering
 	}
-	out.Lingering = slices.Concat(out.Lingering, s.foreign(want))
+	out.Lingering = slices.Concat(out.Lingering, s.untrackedItems(want))
 	return out
 }
 
-// memory returns what the server itself says of its memory, or 0.
-func (s *server) memory() int64 {
+// memoryMiB returns the memory that the server reports, or 0 if not known.
+func (s *server) memoryMiB() int64 {
 	if s.status == nil {
 		return 0
 	}
 	return s.status.MemoryMiB
 }
 
-func (s *server) leaving() bool { return s.leavingListed || s.status != nil && s.status.Leaving }
+func (s *server) leaving() bool { return s.listedAsLeaving || s.status != nil && s.status.Leaving }
 
-// smallest returns the smallest of the values that are known, or 0.
-func smallest(values ...int64) int64 {
+// minKnown returns the smallest of the values above 0, or 0 if there is none.
+func minKnown(values ...int64) int64 {
 	var out int64
 	for _, v := range values {
 		if v > 0 && (out == 0 || v < out) {
@@ -82,16 +83,17 @@
 	return out
 }
 
-// nameOf returns what callers ask for an item by.
-func nameOf(i infra.Item) string {
+// targetName returns the name by which callers request an item.
+func targetName(i infra.Item) string {
 	if i.Adapter != "" {
 		return i.Adapter
 	}
 	return i.Model
 }
 
-// elsewhere counts the ready replicas in the other failure domains by name.
-func elsewhere(others map[string]*replay.ControlView) map[string]int {
+// otherDomainReplicas counts the ready replicas in the other failure domains, by
+// target name.
+func otherDomainReplicas(others map[string]*replay.ControlView) map[string]int {
 	out := map[string]int{}
 	for _, v := range others {
 		if v == nil {
@@ -99,14 +101,14 @@
 		}
 		for _, s := range v.Servers {
 			for _, i := range s.Ready {
-				out[nameOf(i)]++
+				out[targetName(i)]++
 			}
 		}
 	}
 	return out
 }
 
-// serverDomains returns the failure domains that have engines, sorted.
+// serverDomains returns the failure domains that have backend servers, sorted.
 func serverDomains(list *fleet.List) []string {
 	seen := map[string]bool{}
 	for _, i := range list.Instances {
@@ -117,24 +119,25 @@
 	return slices.Sorted(maps.Keys(seen))
 }
 
-// maxBatch bounds the records of one append, so that it stays well below what a
-// log takes at once: an assignment of 20 items has 1 KB. The rest comes with
-// the next step or plan.
-const maxBatch = 64
+// maxBatchRecords bounds the records of one append, to stay well below the log's
+// limit: an assignment of 20 items has 1 KB. The rest follows in the next step or
+// plan.
+const maxBatchRecords = 64
 
-// assignments turns moves into records, best move first, on a working copy of
-// the assignments. A move that the rules forbid is left out with its reason.
+// assignmentRecords applies the moves, best first, to a working copy of the
+// assignments and returns the records of the servers that changed. A move that
+// the rules forbid is logged with its reason and left out.
 //
-// The load it is for: a plan made on statuses and views that are a second old.
-// The harm prevented: a plan that takes a model's last ready replica away, or
-// fills memory that isn't free.
-func (c *core) assignments(in decide.PlanInput, moves []decide.Move) []*record.Record {
-	work := newWorkingCopy(in, c.others, c.domain)
-	changed := map[string]string{} // server: reason
+// The moves are checked again because a plan rests on statuses and views that are
+// a second old: unchecked, it could drop a model's last ready replica or use
+// memory that isn't free.
+func (c *core) assignmentRecords(in decide.PlanInput, moves []decide.Move) []*record.Record {
+	work := newWorkingCopy(in, c.otherViews, c.domain)
+	changed := map[string]string{} // by server: the last move's reason
 	var order []string
 	for _, m := range moves {
 		if refused := work.apply(m); refused != "" {
-			c.refuseMove(m, refused)
+			c.logRefusedMove(m, refused)
 			continue
 		}
 		if _, again := changed[m.Server]; !again {
@@ -143,15 +146,15 @@
 		changed[m.Server] = m.Reason
 	}
 	var out []*record.Record
-	for _, id := range order[:min(len(order), maxBatch)] {
+	for _, id := range order[:min(len(order), maxBatchRecords)] {
 		s := work.servers[id]
-		out = append(out, assignmentOf(c.lease.ID(), s, changed[id]))
+		out = append(out, assignmentRecord(c.lease.ID(), s, changed[id]))
 		c.logAssignment(s, changed[id])
 	}
 	return out
 }
 
-func assignmentOf(lease infra.Offset, s *decide.PlanServer, reason string) *record.Record {
+func assignmentRecord(lease infra.Offset, s *decide.PlanServer, reason string) *record.Record {
 	return &record.Record{Body: &record.Record_Assignment{Assignment: &record.Assignment{
 		Lease:     uint64(lease),
 		Server:    s.ID,
@@ -162,40 +165,41 @@
 	}}}
 }
 
-// The reasons for which a move is refused.
+// The reasons for refusing a move.
 const (
 	moveUnknownServer = "unknown_server"
 	moveUnreachable   = "unreachable"
 	moveLeaving       = "leaving"
 	moveMemory        = "memory"
 	moveLastReplica   = "last_ready_replica"
-	moveOrphan        = "adapter_without_model"
-	moveNothing       = "no_change"
+	moveOrphanAdapter = "adapter_without_model"
+	moveNoChange      = "no_change"
 )
 
-// workingCopy is the domain's assignments with the moves of one plan applied.
+// workingCopy holds the domain's assignments with the moves of one plan applied.
 type workingCopy struct {
-	cfg     *config.Config
-	servers map[string]*decide.PlanServer
-	ready   map[string]int  // ready replicas here by name, but for those dropped by now
-	safe    map[string]bool // names with a ready replica in a domain that goes before this one
+	cfg                *config.Config
+	servers            map[string]*decide.PlanServer
+	readyReplicas      map[string]int  // by target name: this domain's ready replicas, less those dropped
+	availableElsewhere map[string]bool // target names with a ready replica in a domain that sorts before this one
 }
 
 func newWorkingCopy(in decide.PlanInput, others map[string]*replay.ControlView, domain string) *workingCopy {
-	w := &workingCopy{cfg: in.Config, servers: map[string]*decide.PlanServer{}, ready: map[string]int{}, safe: safeElsewhere(others, domain)}
+	w := &workingCopy{cfg: in.Config, servers: map[string]*decide.PlanServer{}, readyReplicas: map[string]int{}, availableElsewhere: availableInEarlierDomains(others, domain)}
 	for _, s := range in.Servers {
 		w.servers[s.ID] = &s
 		for _, i := range s.Ready {
-			w.ready[nameOf(i)] += w.counts(&s)
+			w.readyReplicas[targetName(i)] += w.replicaCount(&s)
 		}
 	}
 	return w
 }
 
-// safeElsewhere returns the names with a ready replica in a failure domain
-// whose name sorts before this one's. Two domains that each count on the
-// other's replica could both drop theirs; only the later one may.
-func safeElsewhere(others map[string]*replay.ControlView, domain string) map[string]bool {
+// availableInEarlierDomains returns the target names with a ready replica in a
+// failure domain whose name sorts before this one's. Only such replicas allow
+// this domain to drop its last one: otherwise two domains that each rely on the
+// other's replica could both drop theirs.
+func availableInEarlierDomains(others map[string]*replay.ControlView, domain string) map[string]bool {
 	out := map[string]bool{}
 	for other, v := range others {
 		if v == nil || other >= domain {
@@ -203,7 +207,7 @@
 		}
 		for _, s := range v.Servers {
 			for _, i := range s.Ready {
-				out[nameOf(i)] = true
+				out[targetName(i)] = true
 			}
 		}
 	}
@@ -216,7 +220,8 @@
 	return model || adapter
 }
 
-// apply carries the move out on the copy, or returns why it is refused.
+// apply applies the move to the copy and returns "", or returns the reason why the
+// move is refused.
 func (w *workingCopy) apply(m decide.Move) string {
 	s := w.servers[m.Server]
 	switch {
@@ -227,86 +232,88 @@
 	case len(m.Add) > 0 && s.Leaving:
 		return moveLeaving
 	}
-	next := moved(*s, m)
+	next := withMove(*s, m)
 	if sameItems(next.Assigned, s.Assigned) {
-		return moveNothing
+		return moveNoChange
 	}
 	if len(m.Add) == 0 {
-		// Nothing new comes: a server whose declared memory shrank must still
-		// be able to let go.
-		next.MemoryMiB = max(next.MemoryMiB, mib(next.Assigned, next.Lingering))
+		// Without additions, a server whose declared memory shrank must still be
+		// able to drop items.
+		next.MemoryMiB = max(next.MemoryMiB, totalMiB(next.Assigned, next.Lingering))
 	}
 	if !replay.Fits(next.MemoryMiB, next.Assigned, next.Lingering) {
 		return moveMemory
 	}
-	if orphaned(next.Assigned) {
-		return moveOrphan
+	if hasOrphanAdapter(next.Assigned) {
+		return moveOrphanAdapter
 	}
-	dropped := w.dropped(s, &next)
-	for name, n := range dropped {
-		if w.declared(name) && w.ready[name]-n < 1 && !w.safe[name] {
+	droppedReplicas := w.droppedReplicas(s, &next)
+	for name, n := range droppedReplicas {
+		if w.declared(name) && w.readyReplicas[name]-n < 1 && !w.availableElsewhere[name] {
 			return moveLastReplica
 		}
 	}
-	for name, n := range dropped {
-		w.ready[name] -= n
+	for name, n := range droppedReplicas {
+		w.readyReplicas[name] -= n
 	}
 	w.servers[m.Server] = &next
 	return ""
 }
 
-// dropped returns, for each name of which the server loses a ready replica, how
-// many of them count as ready now: none, where it can't be reached or is leaving.
-func (w *workingCopy) dropped(s, next *decide.PlanServer) map[string]int {
+// droppedReplicas returns, by target name, how many ready replicas the server
+// loses with its next assignment: 0 if it is unreachable or leaving, because its
+// replicas don't count.
+func (w *workingCopy) droppedReplicas(s, next *decide.PlanServer) map[string]int {
 	out := map[string]int{}
 	for _, i := range s.Ready {
-		if !holds(s.Assigned, i.Key()) || holds(next.Assigned, i.Key()) {
+		if !containsItem(s.Assigned, i.Key()) || containsItem(next.Assigned, i.Key()) {
 			continue
 		}
-		out[nameOf(i)] += w.counts(s)
+		out[targetName(i)] += w.replicaCount(s)
 	}
 	return out
 }
 
-// counts returns 1 if the server's ready items count as replicas, else 0.
-func (w *workingCopy) counts(s *decide.PlanServer) int {
+// replicaCount returns how much a ready item of the server counts as a replica: 1,
+// or 0 if the server is unreachable or leaving.
+func (w *workingCopy) replicaCount(s *decide.PlanServer) int {
 	if s.Reachable && !s.Leaving {
 		return 1
 	}
 	return 0
 }
 
-// orphaned says whether an adapter is assigned without its model.
-func orphaned(items []infra.Item) bool {
+// hasOrphanAdapter reports whether the items have an adapter without its model.
+func hasOrphanAdapter(items []infra.Item) bool {
 	return slices.ContainsFunc(items, func(a infra.Item) bool {
 		model := func(i infra.Item) bool { return i.Adapter == "" && i.Model == a.Model }
 		return a.Adapter != "" && !slices.ContainsFunc(items, model)
 	})
 }
 
-// moved returns the server after the move. What it drops lingers, and what is
-// added while it lingers counts once.
-func moved(s decide.PlanServer, m decide.Move) decide.PlanServer {
-	drop := func(i infra.Item) bool { return holds(m.Drop, i.Key()) && !holds(m.Add, i.Key()) }
+// withMove returns the server after the move. A dropped item becomes lingering,
+// and a lingering item that is added again is only assigned, so it counts once.
+func withMove(s decide.PlanServer, m decide.Move) decide.PlanServer {
+	drop := func(i infra.Item) bool { return containsItem(m.Drop, i.Key()) && !containsItem(m.Add, i.Key()) }
 	kept := slices.DeleteFunc(slices.Clone(s.Assigned), drop)
 	for _, i := range m.Add {
-		if !holds(kept, i.Key()) {
+		if !containsItem(kept, i.Key()) {
 			kept = append(kept, i)
 		}
 	}
-	assigned := func(i infra.Item) bool { return holds(kept, i.Key()) }
-	left := slices.DeleteFunc(slices.Concat(s.Assigned, s.Lingering), assigned)
-	s.Assigned, s.Lingering = kept, left
+	assigned := func(i infra.Item) bool { return containsItem(kept, i.Key()) }
+	lingering := slices.DeleteFunc(slices.Concat(s.Assigned, s.Lingering), assigned)
+	s.Assigned, s.Lingering = kept, lingering
 	return s
 }
 
 func sameItems(a, b []infra.Item) bool {
-	return len(a) == len(b) && !slices.ContainsFunc(a, func(i infra.Item) bool { return !holds(b, i.Key()) })
+	return len(a) == len(b) && !slices.ContainsFunc(a, func(i infra.Item) bool { return !containsItem(b, i.Key()) })
 }
 
-// storeSharers counts, for each partner, the failure domains that have a
-// server where one of its models may be placed: they load from its store.
-func storeSharers(cfg *config.Config, list *fleet.List) map[string]int {
+// domainsPerStore counts, by partner, the failure domains with a server where one
+// of the partner's models may be placed: they share its weight store.
+func domainsPerStore(cfg *config.Config, list *fleet.List) map[string]int {
 	domains := map[string]map[string]bool{} // by pool
 	for _, i := range list.Instances {
 		if i.Role != infra.RoleEngine {
--- a/control/reconcile.go
+++ b/control/reconcile.go
@@ -8,99 +8,102 @@
 	"greengageferry/replay"
 )
 
-// wanted is an order that would move a server toward its assignment.
-type wanted struct {
+// neededOrder is an order that moves a server toward its assignment.
+type neededOrder struct {
 	order  infra.Order
-	reason string
+	reason string // for the log
 }
 
-// reconcile returns the orders that move a server from what its status shows
-// toward its assignment. Loads are returned only if all fits together that is
-// assigned, that may linger and that the status shows, whatever the log says.
-//
-// The load it is for: a restart of a server with some twenty items, whose
-// status lags by a second and whose orders get lost. The harm prevented: two
-// loads that only fit one after the other.
-func reconcile(now time.Time, l Limits, s *server, want *replay.Server, ignoresFence bool) []wanted {
+// reconcile returns the orders that move a server from the state that its status
+// shows toward its assignment. It returns loads only if the assigned items, the
+// lingering ones and those in the status fit into the memory together, whatever
+// the log says: after a restart of a server with some 20 items, whose status lags
+// by a second and whose orders get lost, two loads could otherwise run at once
+// that fit only one after the other.
+func reconcile(now time.Time, l Limits, s *server, want *replay.Server, ignoresFence bool) []neededOrder {
 	if s.status == nil || s.assignment != want.Assignment {
 		return nil
 	}
-	if fence := fenceFirst(now, l, s, want, ignoresFence); fence != nil {
+	if fence := fenceOrders(now, l, s, want, ignoresFence); fence != nil {
 		return fence
 	}
-	return append(unloads(now, l, s, want), loads(now, l, s, want)...)
+	return append(unloadOrders(now, l, s, want), loadOrders(now, l, s, want)...)
 }
 
-// fenceFirst raises the number that a server has seen before anything else is
-// ordered: from then on its status shows all that there can be. A server that
-// forgot its number over a restart is brought back to it in the same way.
-func fenceFirst(now time.Time, l Limits, s *server, want *replay.Server, ignoresFence bool) []wanted {
+// fenceOrders returns the order that raises the fencing token of a server, or nil
+// if the server has seen its assignment's token. No other order is sent before:
+// from then on no older order can add an item, so the status is complete. A
+// server that lost its token in a restart gets it back in the same way. The
+// result is empty but not nil while the order is pending.
+func fenceOrders(now time.Time, l Limits, s *server, want *replay.Server, ignoresFence bool) []neededOrder {
 	if ignoresFence || infra.Offset(s.status.Fence) >= want.Assignment {
 		return nil
 	}
 	key := orderKey{kind: infra.OrderFence}
-	if !s.due(now, l, key) {
-		return []wanted{}
+	if !s.isDue(now, l, key) {
+		return []neededOrder{}
 	}
-	return []wanted{{order: order(infra.OrderFence, infra.Item{}, want), reason: "fence"}}
+	return []neededOrder{{order: order(infra.OrderFence, infra.Item{}, want), reason: "fence"}}
 }
 
-// unloads drops what isn't assigned, once routers had time to read of it. A
-// model goes after its adapters.
-func unloads(now time.Time, l Limits, s *server, want *replay.Server) []wanted {
-	if now.Before(s.readAt.Add(l.DropDelay)) {
+// unloadOrders returns the unloads of items that aren't assigned, once
+// Limits.UnloadDelay has given routers time to read the assignment. A model is
+// unloaded after its adapters.
+func unloadOrders(now time.Time, l Limits, s *server, want *replay.Server) []neededOrder {
+	if now.Before(s.assignmentReadAt.Add(l.UnloadDelay)) {
 		return nil
 	}
-	adapters := map[string]bool{} // models with an adapter that is still to go
-	var out []wanted
+	adaptersLeft := map[string]bool{} // models with an adapter still to unload
+	var out []neededOrder
 	for _, adapterPass := range []bool{true, false} {
 		for _, r := range s.status.Items {
-			if (r.Adapter != "") != adapterPass || holds(want.Assigned, r.Key()) {
+			if (r.Adapter != "") != adapterPass || containsItem(want.Assigned, r.Key()) {
 				continue
 			}
-			adapters[r.Model] = adapters[r.Model] || adapterPass
+			adaptersLeft[r.Model] = adaptersLeft[r.Model] || adapterPass
 			key := orderKey{kind: infra.OrderUnload, item: r.Key()}
-			if r.State == infra.ItemUnloading || !adapterPass && adapters[r.Model] || !s.due(now, l, key) {
+			if r.State == infra.ItemUnloading || !adapterPass && adaptersLeft[r.Model] || !s.isDue(now, l, key) {
 				continue
 			}
-			out = append(out, wanted{order: order(infra.OrderUnload, r.Item, want), reason: "not assigned"})
+			out = append(out, neededOrder{order: order(infra.OrderUnload, r.Item, want), reason: "not assigned"})
 		}
 	}
 	return out
 }
 
-// loads brings in what is assigned and not there. An adapter waits for its model.
-func loads(now time.Time, l Limits, s *server, want *replay.Server) []wanted {
+// loadOrders returns the loads of assigned items that aren't resident. An adapter
+// is loaded once its model is ready.
+func loadOrders(now time.Time, l Limits, s *server, want *replay.Server) []neededOrder {
 	if s.leaving() {
 		return nil
 	}
 	if !s.fits(want) {
 		return nil
 	}
-	var out []wanted
+	var out []neededOrder
 	for _, adapterPass := range []bool{false, true} {
 		for _, i := range want.Assigned {
 			key := orderKey{kind: infra.OrderLoad, item: i.Key()}
 			if _, there := s.resident(i.Key()); there || (i.Adapter != "") != adapterPass {
 				continue
 			}
-			if !s.due(now, l, key) || adapterPass && !s.modelReady(i.Model) {
+			if !s.isDue(now, l, key) || adapterPass && !s.modelReady(i.Model) {
 				continue
 			}
-			out = append(out, wanted{order: order(infra.OrderLoad, i, want), reason: "assigned, not there"})
+			out = append(out, neededOrder{order: order(infra.OrderLoad, i, want), reason: "assigned, not resident"})
 		}
 	}
 	return out
 }
 
-// fits says whether everything fits together that the server shows, is
-// assigned, or may yet hold. The log's own rule doesn't know of items that were
-// there before the first assignment, nor of a size that the server reports as
-// larger than declared; while they are too much, nothing is loaded.
+// fits reports whether the items that the server shows, the assigned and the
+// lingering ones fit into its memory together. The rule that the log applies to
+// assignments (replay.Fits) doesn't know of items loaded before the first
+// assignment, nor of sizes that the server reports as larger than declared.
 func (s *server) fits(want *replay.Server) bool {
-	memory := want.MemoryMiB
+	freeMiB := want.MemoryMiB
 	if s.status.MemoryMiB > 0 {
-		memory = min(memory, s.status.MemoryMiB)
+		freeMiB = min(freeMiB, s.status.MemoryMiB)
 	}
 	size := map[infra.Key]int64{}
 	for _, i := range slices.Concat(want.Assigned, want.Lingering) {
@@ -110,9 +113,9 @@
 		size[r.Key()] = max(size[r.Key()], r.MiB)
 	}
 	for _, mib := range size {
-		memory -= mib
+		freeMiB -= mib
 	}
-	return memory >= 0
+	return freeMiB >= 0
 }
 
 func (s *server) modelReady(model string) bool {
@@ -121,14 +124,14 @@
 	})
 }
 
-// due says whether an order may be sent now: for the first time, or again
-// after it had time to show.
-func (s *server) due(now time.Time, l Limits, key orderKey) bool {
+// isDue reports whether an order may be sent now: for the first time, or again
+// after the resend delay, which doubles with each attempt up to MaxResendDelay.
+func (s *server) isDue(now time.Time, l Limits, key orderKey) bool {
 	o, sent := s.sent[key]
 	if !sent {
 		return true
 	}
-	wait := min(l.Resend<<min(o.tries-1, 8), MaxResend)
+	wait := min(l.ResendDelay<<min(o.tries-1, 8), MaxResendDelay)
 	return !now.Before(o.at.Add(wait))
 }
 
@@ -136,23 +139,24 @@
 	return infra.Order{Kind: kind, Item: item, Fence: uint64(want.Assignment)}
 }
 
-func holds(items []infra.Item, key infra.Key) bool {
+func containsItem(items []infra.Item, key infra.Key) bool {
 	return slices.ContainsFunc(items, func(i infra.Item) bool { return i.Key() == key })
 }
 
-// removable returns the lingering items that are gone from the server for good.
+// removableItems returns the lingering items that are gone from the server for
+// good, so that their memory is free.
 //
-// On an engine that refuses old fencing numbers that is so once it has seen the
-// newest assignment's number and shows them no more. On one that ignores them,
-// each orderer that joined before the assignment must first have said that it
-// is past it with no older order under way, and a status asked for after that
-// must lack them.
-func removable(s *server, want *replay.Server, ignoresFence bool) []infra.Item {
+// On an engine that refuses old fencing tokens, these are the items missing from
+// its status once it has seen the newest assignment's token. On an engine that
+// ignores tokens, each orderer that joined before the assignment must first have
+// confirmed that it has read the assignment and has no older order in flight, and
+// the items must be missing from a status requested after that.
+func removableItems(s *server, want *replay.Server, ignoresFence bool) []infra.Item {
 	if s.status == nil || len(want.Lingering) == 0 {
 		return nil
 	}
 	if ignoresFence {
-		if s.confirmedFor != want.Assignment || !s.asked.After(s.confirmedAt) {
+		if s.confirmedAssignment != want.Assignment || !s.statusAskedAt.After(s.confirmedAt) {
 			return nil
 		}
 	} else if infra.Offset(s.status.Fence) < want.Assignment {
--- a/control/restore.go
+++ b/control/restore.go
@@ -2,53 +2,54 @@
 
 import "time"
 
-// missingFor is how long a dispatch's word that an item is missing is worth
-// acting on; a dispatch that still misses it says so again.
-const missingFor = 30 * time.Second
+// missingReportTTL is how long a report that an item is missing is acted on. A
+// later dispatch that misses the item reports it again.
+const missingReportTTL = 30 * time.Second
 
-// maxMissing bounds the servers noted: more than a domain has.
-const maxMissing = 1024
+// maxMissingReports bounds the servers with a report. A domain has fewer servers.
+const maxMissingReports = 1024
 
-// forgetMissing forgets what dispatches said long ago, and of servers that have
-// no assignment any more.
-func (c *core) forgetMissing(now time.Time) {
-	for id, at := range c.missing {
-		if now.Sub(at) >= missingFor || c.view.Servers[id] == nil {
-			delete(c.missing, id)
+// expireMissingReports deletes old reports and those of servers without an
+// assignment.
+func (c *core) expireMissingReports(now time.Time) {
+	for id, at := range c.missingReports {
+		if now.Sub(at) >= missingReportTTL || c.view.Servers[id] == nil {
+			delete(c.missingReports, id)
 		}
 	}
 }
 
-// restore is a step of an instance that holds no lease while the log is down:
-// it brings servers that its own dispatches found incomplete back to their last
-// assignment. Their assignments can't change meanwhile, so that is safe beside
-// anyone else who does the same. Servers that nobody misses aren't looked at:
-// several instances polling a whole domain would be a load for nothing.
+// restore is a step of an instance without the lease while the log is down: it
+// brings servers that were reported to this instance as missing an item back to
+// their last assignment. Assignments can't change meanwhile, so several instances
+// may safely do the same at once. Servers without a report aren't polled: several
+// instances polling a whole domain would be needless load.
 func (c *core) restore(now time.Time, a *actions) {
-	for _, id := range sortedKeys(c.missing) {
+	for _, id := range sortedKeys(c.missingReports) {
 		c.pollIfDue(now, id, a)
 	}
-	listed := now.Sub(c.listedAt) < c.l.Listed
-	var chosen []string
-	for _, id := range sortedKeys(c.missing) {
-		if listed || !c.ignoresFence(c.view.Servers[id].Pool) {
-			chosen = append(chosen, id)
+	recentlyListed := now.Sub(c.listedAt) < c.limits.MaxListedAge
+	var serverIDs []string
+	for _, id := range sortedKeys(c.missingReports) {
+		if recentlyListed || !c.ignoresFence(c.view.Servers[id].Pool) {
+			serverIDs = append(serverIDs, id)
 		}
 	}
-	c.orderAll(now, a, false, chosen)
+	c.addDueOrders(now, a, false, serverIDs)
 }
 
-// miss notes that a dispatch found an assigned item missing on the server.
-func (c *core) miss(now time.Time, id string) {
-	_, known := c.missing[id]
-	if !known && len(c.missing) >= maxMissing {
+// recordMissing records that a dispatch found an assigned item missing on the
+// server, and polls the server at the next step if this is its first report.
+func (c *core) recordMissing(now time.Time, id string) {
+	_, known := c.missingReports[id]
+	if !known && len(c.missingReports) >= maxMissingReports {
 		return
 	}
 	if s := c.servers[id]; s != nil && !known {
 		s.pollAt = time.Time{}
-		if c.held == 0 {
-			s.forgetStatus()
+		if c.takenOverLease == 0 {
+			s.resetStatus()
 		}
 	}
-	c.missing[id] = now
+	c.missingReports[id] = now
 }
--- a/control/server.go
+++ b/control/server.go
@@ -8,14 +8,14 @@
 	"greengageferry/replay"
 )
 
-// orderKey names an order apart from its fencing number.
+// orderKey identifies an order regardless of its fencing token.
 type orderKey struct {
 	kind infra.OrderKind
 	item infra.Key
 }
 
-// sentOrder is an order that this instance sent and that a status hasn't shown
-// to be done.
+// sentOrder is an order that this instance sent and whose effect no status has
+// shown yet.
 type sentOrder struct {
 	item  infra.Item
 	fence infra.Offset
@@ -23,76 +23,76 @@
 	tries int
 }
 
-// server is what this instance knows of one backend server: what it read of
-// it, and what it sent to it.
+// server is this instance's state for one backend server: what it observed of the
+// server and which orders it sent.
 type server struct {
 	id   string
 	addr string
 
-	status      *infra.ServerStatus // the newest, or nil
-	asked       time.Time           // when the newest status was asked for
-	silentSince time.Time           // the first failure since it last answered
-	failures    int                 // in a row
-	polling     bool
-	pollAt      time.Time
+	status        *infra.ServerStatus // the newest, or nil
+	statusAskedAt time.Time           // when the newest status was requested
+	silentSince   time.Time           // first failed poll since the last answer; zero: none
+	failures      int                 // consecutive failed polls
+	polling       bool
+	pollAt        time.Time
 
-	assignment infra.Offset // the newest that was read
-	readAt     time.Time    // when it was read: what its DropDelay counts from
-	since      map[infra.Key]time.Time
-	sent       map[orderKey]sentOrder
+	assignment       infra.Offset            // offset of the newest assignment read
+	assignmentReadAt time.Time               // start of UnloadDelay
+	assignedAt       map[infra.Key]time.Time // by assigned item: when it was first read as assigned
+	sent             map[orderKey]sentOrder  // orders of the newest assignment without visible effect
 
-	missingSince  time.Time // unlisted since
-	leavingListed bool      // the list says that it is leaving
+	unlistedSince   time.Time // when it was first seen off the list; zero: listed
+	listedAsLeaving bool      // listed in a state other than live
 
-	calmStatus *infra.ServerStatus // with calmWant: found quiet
-	calmWant   *replay.Server
+	syncedStatus *infra.ServerStatus // inSync was true for this status and syncedWant
+	syncedWant   *replay.Server
 
-	confirmedFor infra.Offset
-	confirmedAt  time.Time // when every earlier orderer was known to be past confirmedFor
+	confirmedAssignment infra.Offset // assignment that all orderers needed have confirmed; 0: none
+	confirmedAt         time.Time    // when all earlier orderers had confirmed confirmedAssignment
 }
 
 func newServer(id string) *server {
-	return &server{id: id, since: map[infra.Key]time.Time{}, sent: map[orderKey]sentOrder{}}
+	return &server{id: id, assignedAt: map[infra.Key]time.Time{}, sent: map[orderKey]sentOrder{}}
 }
 
-// assigned takes in the server's newest assignment, read at now.
-func (s *server) assigned(now time.Time, want *replay.Server) {
+// observeAssignment updates the server with its newest assignment, read at now.
+func (s *server) observeAssignment(now time.Time, want *replay.Server) {
 	if want.Assignment == s.assignment {
 		return
 	}
-	s.assignment, s.readAt, s.pollAt = want.Assignment, now, time.Time{}
+	s.assignment, s.assignmentReadAt, s.pollAt = want.Assignment, now, time.Time{}
 	clear(s.sent)
-	since := map[infra.Key]time.Time{}
+	assignedAt := map[infra.Key]time.Time{}
 	for _, i := range want.Assigned {
-		if at, known := s.since[i.Key()]; known {
-			since[i.Key()] = at
+		if at, known := s.assignedAt[i.Key()]; known {
+			assignedAt[i.Key()] = at
 		} else {
-			since[i.Key()] = now
+			assignedAt[i.Key()] = now
 		}
 	}
-	s.since = since
+	s.assignedAt = assignedAt
 }
 
-// polled takes in the answer to a status call that was asked at asked.
-func (s *server) polled(asked time.Time, status infra.ServerStatus) {
+// pollDone updates the server with a status requested at statusAskedAt.
+func (s *server) pollDone(statusAskedAt time.Time, status infra.ServerStatus) {
 	s.polling = false
-	if asked.Before(s.asked) {
+	if statusAskedAt.Before(s.statusAskedAt) {
 		return
 	}
 	if s.status != nil && s.status.Boot != status.Boot {
-		clear(s.sent) // what was loaded is gone
+		clear(s.sent) // a restarted server is empty
 	}
-	s.status, s.asked = &status, asked
+	s.status, s.statusAskedAt = &status, statusAskedAt
 	s.silentSince, s.failures = time.Time{}, 0
 	for key := range s.sent {
-		if s.done(key) {
+		if s.isDone(key) {
 			delete(s.sent, key)
 		}
 	}
 }
 
-// unanswered takes in that a status call failed.
-func (s *server) unanswered(now time.Time) {
+// pollFailed updates the server after a failed status call.
+func (s *server) pollFailed(now time.Time) {
 	s.polling = false
 	s.failures++
 	if s.silentSince.IsZero() {
@@ -100,15 +100,16 @@
 	}
 }
 
-// forgetStatus forgets what the server said and didn't say.
-func (s *server) forgetStatus() {
-	s.status, s.asked = nil, time.Time{}
+// resetStatus discards the status and the failures, so that the server is polled
+// again.
+func (s *server) resetStatus() {
+	s.status, s.statusAskedAt = nil, time.Time{}
 	s.silentSince, s.failures = time.Time{}, 0
 	s.pollAt = time.Time{}
 }
 
-// done says whether the newest status shows the order to be carried out.
-func (s *server) done(key orderKey) bool {
+// isDone reports whether the newest status shows the order's effect.
+func (s *server) isDone(key orderKey) bool {
 	_, there := s.resident(key.item)
 	switch key.kind {
 	case infra.OrderLoad:
@@ -130,8 +131,8 @@
 	return s.status.Items[i], true
 }
 
-// ready returns the items of want that the newest status shows as ready.
-func (s *server) ready(want []infra.Item) []infra.Item {
+// readyItems returns the items of want that the newest status shows as ready.
+func (s *server) readyItems(want []infra.Item) []infra.Item {
 	var out []infra.Item
 	for _, i := range want {
 		if r, there := s.resident(i.Key()); there && r.State == infra.ItemReady {
@@ -141,10 +142,10 @@
 	return out
 }
 
-// quiet says whether the server is as it should be: it answers, everything
-// that is assigned is ready and on the log as such, and nothing else is there.
-func (s *server) quiet(want *replay.Server, ignoresFence bool) bool {
-	if s.status == nil || s.failures > 0 || len(s.sent) > 0 || !s.missingSince.IsZero() {
+// inSync reports whether the server matches its assignment: it answers, all
+// assigned items are ready and recorded as ready, and no others are resident.
+func (s *server) inSync(want *replay.Server, ignoresFence bool) bool {
+	if s.status == nil || s.failures > 0 || len(s.sent) > 0 || !s.unlistedSince.IsZero() {
 		return false
 	}
 	if want == nil {
@@ -153,21 +154,21 @@
 	fenced := ignoresFence || infra.Offset(s.status.Fence) >= want.Assignment
 	n := len(want.Assigned)
 	return fenced && s.assignment == want.Assignment && s.status.Boot == want.Boot && len(want.Lingering) == 0 &&
-		len(want.Ready) == n && len(s.status.Items) == n && len(s.ready(want.Assigned)) == n
+		len(want.Ready) == n && len(s.status.Items) == n && len(s.readyItems(want.Assigned)) == n
 }
 
-// silent says for how long the server hasn't answered.
-func (s *server) silent(now time.Time) time.Duration {
+// silentFor returns how long the server hasn't answered; 0 if it answers.
+func (s *server) silentFor(now time.Time) time.Duration {
 	if s.silentSince.IsZero() {
 		return 0
 	}
 	return now.Sub(s.silentSince)
 }
 
-// foreign returns what the newest status shows beyond what the log knows of:
-// loaded before the server's first assignment, or by an order from before a
-// restart. Its memory is taken all the same.
-func (s *server) foreign(want *replay.Server) []infra.Item {
+// untrackedItems returns the items in the newest status that are neither assigned
+// nor lingering: loaded before the server's first assignment, or by an order from
+// before a restart. They use memory all the same.
+func (s *server) untrackedItems(want *replay.Server) []infra.Item {
 	if s.status == nil {
 		return nil
 	}
--- a/control/underway.go
+++ b/control/underway.go
@@ -7,44 +7,44 @@
 	"greengageferry/infra"
 )
 
-// underWay knows the orders that this instance has sent, or is about to send,
-// and that may still take effect. It is shared by the goroutines that send
-// orders and those that answer Applied; the mutex is held for map operations
-// only.
+// inFlightOrders tracks the orders that this instance has sent, or is about to
+// send, and that may still take effect. It is shared by the goroutines that send
+// orders and those that call Controller.Applied; the mutex is held only for map
+// operations.
 //
-// An order is begun before the sender looks whether its assignment is still
-// the newest. So once an instance has answered Applied with an offset, no
-// order of an older assignment of its can arrive any more: one begun earlier
-// is counted, and one begun later is dropped.
-type underWay struct {
-	late time.Duration // how long an order without an answer may yet arrive
+// An order is begun before its sender checks that its assignment is still the
+// newest. So once Applied has returned an offset, no order of an older assignment
+// from this instance can arrive: one begun earlier would have lowered the offset,
+// and one begun later is dropped by the check.
+type inFlightOrders struct {
+	lateOrderWindow time.Duration // how long after its call an unanswered order may still arrive
 
 	mu     sync.Mutex
-	next   int
-	orders map[int]orderUnderWay
+	lastID int
+	orders map[int]inFlightOrder
 }
 
-type orderUnderWay struct {
+type inFlightOrder struct {
 	assignment infra.Offset
-	until      time.Time // zero: its call has not ended
+	expiresAt  time.Time // end of its lateOrderWindow; zero: its call is running
 }
 
-func newUnderWay(late time.Duration) *underWay {
-	return &underWay{late: late, orders: map[int]orderUnderWay{}}
+func newInFlightOrders(lateOrderWindow time.Duration) *inFlightOrders {
+	return &inFlightOrders{lateOrderWindow: lateOrderWindow, orders: map[int]inFlightOrder{}}
 }
 
-// begin notes an order of the assignment.
-func (u *underWay) begin(assignment infra.Offset) (id int) {
+// begin adds an order of the assignment and returns its id.
+func (u *inFlightOrders) begin(assignment infra.Offset) (id int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.next++
-	u.orders[u.next] = orderUnderWay{assignment: assignment}
-	return u.next
+	u.lastID++
+	u.orders[u.lastID] = inFlightOrder{assignment: assignment}
+	return u.lastID
 }
 
-// end notes the end of an order's call. Without an answer the order stays
-// under way for the time that it may be late.
-func (u *underWay) end(now time.Time, id int, answered bool) {
+// end handles the end of an order's call. Without an answer the order stays in
+// flight for the lateOrderWindow.
+func (u *inFlightOrders) end(now time.Time, id int, answered bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if answered {
@@ -52,28 +52,28 @@
 		return
 	}
 	o := u.orders[id]
-	o.until = now.Add(u.late)
+	o.expiresAt = now.Add(u.lateOrderWindow)
 	u.orders[id] = o
 }
 
-// floor returns the smallest assignment that has an order under way, but at
-// most the offset given. Orders that can't be late any more are forgotten.
-func (u *underWay) floor(now time.Time, offset infra.Offset) infra.Offset {
+// lowestAssignment returns the lowest assignment that has an order in flight, but
+// at most limit. It removes orders whose lateOrderWindow has ended.
+func (u *inFlightOrders) lowestAssignment(now time.Time, limit infra.Offset) infra.Offset {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, o := range u.orders {
-		if !o.until.IsZero() && !now.Before(o.until) {
+		if !o.expiresAt.IsZero() && !now.Before(o.expiresAt) {
 			delete(u.orders, id)
 			continue
 		}
-		offset = min(offset, o.assignment)
+		limit = min(limit, o.assignment)
 	}
-	return offset
+	return limit
 }
 
-// idle says whether no order is under way.
-func (u *underWay) idle(now time.Time) bool {
-	u.floor(now, 0)
+// idle reports whether no order is in flight.
+func (u *inFlightOrders) idle(now time.Time) bool {
+	u.lowestAssignment(now, 0)
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return len(u.orders) == 0
--- a/control/world_test.go
+++ b/control/world_test.go
@@ -22,36 +22,38 @@
 
 const testDomain = "hall"
 
-// node is one entry instance with its Controller.
+// node is an entry instance with its Controller.
 type node struct {
-	id     string
-	f      *follower
-	c      *Controller
-	w      *world
-	cancel context.CancelFunc
-	done   chan error
+	id         string
+	logConn    *follower
+	controller *Controller
+	cluster    *testCluster
+	cancel     context.CancelFunc
+	done       chan error
 
 	mu     sync.Mutex
 	paused chan struct{} // closed when the pause ends; nil: not paused
 }
 
-// The node is its own client of the engines: what a paused process had in hand
-// goes out when it goes on, however long that was.
+// A node implements infra.Engine for its Controller. The calls of a paused node
+// wait until it resumes, however long that takes, and are then sent.
+
+// Status implements infra.Engine.
 func (n *node) Status(ctx context.Context, addr string) (infra.ServerStatus, error) {
-	n.wait()
-	return n.w.servers.status(addr)
+	n.waitWhilePaused()
+	return n.cluster.servers.status(addr)
 }
 
 func (n *node) Order(ctx context.Context, addr string, o infra.Order) error {
-	if n.w.onOrder != nil {
-		n.w.onOrder(n, o)
+	if n.cluster.onOrder != nil {
+		n.cluster.onOrder(n, o)
 	}
 	send := func() error {
-		n.wait()
-		return n.w.servers.order(ctx, addr, o)
+		n.waitWhilePaused()
+		return n.cluster.servers.order(ctx, addr, o)
 	}
-	if n.w.around != nil {
-		return n.w.around(n, send)
+	if n.cluster.wrapOrder != nil {
+		return n.cluster.wrapOrder(n, send)
 	}
 	return send()
 }
@@ -64,7 +66,7 @@
 	panic("not used")
 }
 
-func (n *node) wait() {
+func (n *node) waitWhilePaused() {
 	n.mu.Lock()
 	paused := n.paused
 	n.mu.Unlock()
@@ -73,9 +75,9 @@
 	}
 }
 
-// pause stops what leaves and what reaches the process.
+// pause disconnects the node from the log and holds its calls to the servers.
 func (n *node) pause() {
-	n.f.setCut(true)
+	n.logConn.setDisconnected(true)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.paused = make(chan struct{})
@@ -86,176 +88,177 @@
 	close(n.paused)
 	n.paused = nil
 	n.mu.Unlock()
-	n.f.setCut(false)
+	n.logConn.setDisconnected(false)
 }
 
-// world is a failure domain with its log, servers and entry instances.
-type world struct {
-	t       *testing.T
-	log     *fakeLog
-	servers *fakeServers
-	cfg     *config.Config
-	nodes   []*node
-	limits  Limits
-	asks    func(w *world, id string) (infra.Offset, error)
-	onOrder func(n *node, o infra.Order) // directly before an order leaves a node; may pause it
-	around  func(n *node, send func() error) error
+// testCluster is a failure domain with its log, servers and entry instances.
+type testCluster struct {
+	t           *testing.T
+	log         *fakeLog
+	servers     *fakeServers
+	cfg         *config.Config
+	nodes       []*node
+	limits      Limits
+	appliedFunc func(w *testCluster, id string) (infra.Offset, error)
+	onOrder     func(n *node, o infra.Order) // called directly before a node sends an order; may pause the node
+	wrapOrder   func(n *node, send func() error) error
 
 	mu       sync.Mutex
-	want     func(in decide.PlanInput) []decide.Move
+	planFunc func(in decide.PlanInput) []decide.Move
 	unlisted map[string]bool
 }
 
-func newWorld(t *testing.T) *world {
-	return &world{
-		t: t, log: &fakeLog{}, servers: newServers(), cfg: testConfig(), unlisted: map[string]bool{},
-		want: func(decide.PlanInput) []decide.Move { return nil },
-		asks: (*world).ask,
+func newTestCluster(t *testing.T) *testCluster {
+	return &testCluster{
+		t: t, log: &fakeLog{}, servers: newFakeServers(), cfg: testConfig(), unlisted: map[string]bool{},
+		planFunc:    func(decide.PlanInput) []decide.Move { return nil },
+		appliedFunc: (*testCluster).nodeApplied,
 	}
 }
 
 func testConfig() *config.Config {
-	m := func(mib int64) config.Model {
+	model := func(mib int64) config.Model {
 		return config.Model{Owner: "p", Version: "1", Pools: []string{"strict", "loose"}, MiB: mib}
 	}
 	return &config.Config{
 		Partners: map[string]config.Partner{"p": {}},
 		Pools:    map[string]config.Pool{"strict": {Owner: "p", Slots: 4}, "loose": {Owner: "p", Slots: 4, IgnoresFence: true}},
-		Models:   map[string]config.Model{"a": m(6), "b": m(6), "c": m(6)},
+		Models:   map[string]config.Model{"a": model(6), "b": model(6), "c": model(6)},
 		Adapters: map[string]config.Adapter{},
 	}
 }
 
-func (w *world) Limits(context.Context, string) (infra.StoreLimits, error) {
+func (cluster *testCluster) Limits(context.Context, string) (infra.StoreLimits, error) {
 	return infra.StoreLimits{LoadsPerSecond: 10, ConcurrentLoads: 10}, nil
 }
 
-func (w *world) Demand(context.Context) (map[string]decide.Demand, map[string]infra.Load) {
+func (cluster *testCluster) Demand(context.Context) (map[string]decide.Demand, map[string]infra.Load) {
 	return nil, nil
 }
 
-// Applied asks the node as a peer would.
-func (w *world) Applied(_ context.Context, i infra.Instance) (infra.Offset, error) {
-	return w.asks(w, i.ID)
+// Applied implements Applied by calling the node's Controller directly.
+func (cluster *testCluster) Applied(_ context.Context, i infra.Instance) (infra.Offset, error) {
+	return cluster.appliedFunc(cluster, i.ID)
 }
 
-func (w *world) ask(id string) (infra.Offset, error) {
-	for _, n := range w.nodes {
+func (cluster *testCluster) nodeApplied(id string) (infra.Offset, error) {
+	for _, n := range cluster.nodes {
 		n.mu.Lock()
 		paused := n.paused != nil
 		n.mu.Unlock()
 		if n.id == id && !paused {
-			return n.c.Applied(), nil
+			return n.controller.Applied(), nil
 		}
 	}
 	return 0, &infra.Error{Op: "peer.applied", Reason: infra.ReasonUnreachable, Effect: infra.EffectNone}
 }
 
-func (w *world) Plan(in decide.PlanInput) []decide.Move {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.want(in)
+func (cluster *testCluster) Plan(in decide.PlanInput) []decide.Move {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.planFunc(in)
 }
 
-func (w *world) plan(want func(in decide.PlanInput) []decide.Move) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.want = want
+func (cluster *testCluster) setPlan(planFunc func(in decide.PlanInput) []decide.Move) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.planFunc = planFunc
 }
 
-// List is read anew at each call, as a watcher would once a second.
-func (w *world) List() *fleet.List {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// List implements Lists. It returns a new list at each call, where a watcher would
+// read one once a second.
+func (cluster *testCluster) List() *fleet.List {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
 	var out []infra.Instance
-	for _, n := range w.nodes {
-		if !w.unlisted[n.id] {
+	for _, n := range cluster.nodes {
+		if !cluster.unlisted[n.id] {
 			out = append(out, infra.Instance{ID: n.id, Role: infra.RoleEntry, State: infra.StateLive, FailureDomain: testDomain})
 		}
 	}
-	for _, e := range w.servers.byAddr {
-		if w.unlisted[e.id] {
+	for _, e := range cluster.servers.byAddr {
+		if cluster.unlisted[e.id] {
 			continue
 		}
 		pool := "strict"
-		if e.ignores {
+		if e.unfenced {
 			pool = "loose"
 		}
-		out = append(out, infra.Instance{ID: e.id, Role: infra.RoleEngine, State: infra.StateLive, FailureDomain: testDomain, Pool: pool, Addr: e.addr, MemoryMiB: e.memory})
+		out = append(out, infra.Instance{ID: e.id, Role: infra.RoleEngine, State: infra.StateLive, FailureDomain: testDomain, Pool: pool, Addr: e.addr, MemoryMiB: e.memoryMiB})
 	}
 	return fleet.NewList(time.Now(), out)
 }
 
-func (w *world) unlist(id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.unlisted[id] = true
+func (cluster *testCluster) unlist(id string) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.unlisted[id] = true
 }
 
-// start starts entry instances with the ids.
-func (w *world) start(ids ...string) {
+// start starts entry instances with the given ids.
+func (cluster *testCluster) start(ids ...string) {
 	var started []*node
 	for _, id := range ids {
-		n := &node{id: id, w: w, f: w.log.follower(), done: make(chan error, 1)}
-		n.f.origin = id
-		w.nodes = append(w.nodes, n)
+		n := &node{id: id, cluster: cluster, logConn: cluster.log.follower(), done: make(chan error, 1)}
+		n.logConn.origin = id
+		cluster.nodes = append(cluster.nodes, n)
 		started = append(started, n)
 	}
 	for i, n := range started {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		if testing.Verbose() {
-			log.SetOutput(w.t.Output())
+			log.SetOutput(cluster.t.Output())
 		}
-		n.c = New(Options{
-			Instance: n.id, FailureDomain: testDomain, Engine: n, Appender: n.f, Views: n.f,
-			Others: func() map[string]*replay.ControlView { return nil },
-			Config: w.config,
-			Lists:  w, Store: w, Planner: w, Demand: w, Applied: w,
+		n.controller = New(Options{
+			Instance: n.id, FailureDomain: testDomain, Engine: n, Appender: n.logConn, Views: n.logConn,
+			OtherViews: func() map[string]*replay.ControlView { return nil },
+			Config:     cluster.config,
+			Lists:      cluster, Store: cluster, Planner: cluster, Demand: cluster, Applied: cluster,
 			Random: rand.New(rand.NewPCG(uint64(i), 1)),
-			Limits: w.limits,
+			Limits: cluster.limits,
 			Log:    log.WithField("instance", n.id), Metrics: new(expvar.Map),
 		})
 	}
 	for _, n := range started {
-		ctx, cancel := context.WithCancel(w.t.Context())
+		ctx, cancel := context.WithCancel(cluster.t.Context())
 		n.cancel = cancel
-		go func() { n.done <- n.c.Run(ctx) }()
+		go func() { n.done <- n.controller.Run(ctx) }()
 	}
 }
 
-// stop shuts every node down and waits for it.
-func (w *world) stop() {
-	for _, n := range w.nodes {
+// stop shuts all nodes down and waits until they have stopped.
+func (cluster *testCluster) stop() {
+	for _, n := range cluster.nodes {
 		n.cancel()
 	}
-	for _, n := range w.nodes {
+	for _, n := range cluster.nodes {
 		if err := <-n.done; err != nil {
-			w.t.Error(err)
+			cluster.t.Error(err)
 		}
 	}
-	time.Sleep(time.Minute) // late orders and timers end
+	time.Sleep(time.Minute) // so that late orders arrive and timers end
 }
 
 // holder returns the node that holds the lease, or nil.
-func (w *world) holder() *node {
-	for _, n := range w.nodes {
-		if n.c.Holds() {
+func (cluster *testCluster) holder() *node {
+	for _, n := range cluster.nodes {
+		if n.controller.HoldsLease() {
 			return n
 		}
 	}
 	return nil
 }
 
-// settle lets the time pass and everything that is due in it happen.
-func settle(d time.Duration) {
+// advance lets the time pass and waits until all goroutines of the bubble block.
+func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// place returns a planner that wants exactly the models on the server, and
-// adds each once there is memory for it.
-func place(server string, models ...string) func(in decide.PlanInput) []decide.Move {
+// placeModels returns a plan function that assigns exactly the given models to the
+// server, each once there is memory for it.
+func placeModels(server string, models ...string) func(in decide.PlanInput) []decide.Move {
 	return func(in decide.PlanInput) []decide.Move {
 		for _, s := range in.Servers {
 			if s.ID == server {
@@ -268,20 +271,20 @@
 
 func moveTo(in decide.PlanInput, s decide.PlanServer, models []string) decide.Move {
 	m := decide.Move{Server: s.ID, Reason: "test"}
-	free := s.MemoryMiB - mib(s.Assigned, s.Lingering)
+	free := s.MemoryMiB - totalMiB(s.Assigned, s.Lingering)
 	var wanted []infra.Item
 	for _, name := range models {
 		wanted = append(wanted, infra.Item{Model: name, Version: cmp.Or(in.Config.Models[name].Version, "1"), MiB: 6})
 	}
 	for _, i := range s.Assigned {
-		if !holds(wanted, i.Key()) {
+		if !containsItem(wanted, i.Key()) {
 			m.Drop = append(m.Drop, i)
 		}
 	}
 	for _, i := range wanted {
 		switch {
-		case holds(s.Assigned, i.Key()):
-		case holds(s.Lingering, i.Key()):
+		case containsItem(s.Assigned, i.Key()):
+		case containsItem(s.Lingering, i.Key()):
 			m.Add = append(m.Add, i)
 		case i.MiB <= free:
 			m.Add = append(m.Add, i)
@@ -291,25 +294,25 @@
 	return m
 }
 
-// holders counts the nodes that take themselves for the lease's holder.
-func (w *world) holders() int {
+// holders counts the nodes that consider themselves the lease holder.
+func (cluster *testCluster) holders() int {
 	n := 0
-	for _, node := range w.nodes {
-		if node.c.Holds() {
+	for _, node := range cluster.nodes {
+		if node.controller.HoldsLease() {
 			n++
 		}
 	}
 	return n
 }
 
-func (w *world) setConfig(cfg *config.Config) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cfg = cfg
+func (cluster *testCluster) setConfig(cfg *config.Config) {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	cluster.cfg = cfg
 }
 
-func (w *world) config() *config.Config {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.cfg
+func (cluster *testCluster) config() *config.Config {
+	cluster.mu.Lock()
+	defer cluster.mu.Unlock()
+	return cluster.cfg
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -49,7 +49,7 @@
 func (i *Instance) leads(stream string) bool {
 	if strings.HasPrefix(stream, infra.ControlStream("")) {
 		controller := i.controller.Load()
-		return controller != nil && controller.Holds()
+		return controller != nil && controller.HoldsLease()
 	}
 	return i.batchers.Leads(stream)
 }
--- a/entry/wiring.go
+++ b/entry/wiring.go
@@ -156,7 +156,7 @@
 // it should hold.
 func (i *Instance) tellController(server string) {
 	if c := i.controller.Load(); c != nil {
-		c.Missing(server)
+		c.ReportMissing(server)
 	}
 }
 
