--- a/cmd/greengageferry/instance.go
+++ b/cmd/greengageferry/instance.go
@@ -98,7 +98,7 @@
 		Source:  store,
 		Group:   store,
 		Headers: platform.Headers{},
-		Orderer: platform.NewOrders(netconn.Transport(orderIdle, orderIdleTime)),
+		Orderer: platform.NewOrderClient(netconn.Transport(orderIdle, orderIdleTime)),
 		Clock:   netconn.BootTime,
 		Log:     log,
 		Rand:    rand.New(rand.NewPCG(seed, uint64(os.Getpid()))),
--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -80,7 +80,7 @@
 	orders := netconn.Transport(1, time.Second)
 	store := platform.NewStore(node.StoreAddr, transport)
 	i := instance.New(instance.Options{
-		Node: node, Source: store, Group: store, Headers: platform.Headers{}, Orderer: platform.NewOrders(orders),
+		Node: node, Source: store, Group: store, Headers: platform.Headers{}, Orderer: platform.NewOrderClient(orders),
 		Clock: netconn.BootTime, Log: log, Rand: rand.New(rand.NewPCG(1, uint64(len(d.instances)))),
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -153,7 +153,7 @@
 		status, id, body := d.ask(r, standin.PlainPath+"1", "")
 		require.Equal(t, 200, status)
 		require.Contains(t, body, standin.PlainPath+"1")
-		require.Equal(t, 1, d.site.Servers[3].Ran()[id])
+		require.Equal(t, 1, d.site.Servers[3].RunCounts()[id])
 		status, _, body = d.ask(r, standin.StreamPath, standin.BusyModel)
 		require.Equal(t, 200, status)
 		require.Equal(t, 10, strings.Count(body, "\n\n"))
@@ -198,11 +198,11 @@
 	leaving := d.site.Servers[0]
 	leaving.Drain()
 	d.until(func() bool {
-		before := len(leaving.Ran())
+		before := len(leaving.RunCounts())
 		for range 10 {
 			d.ask(d.instances[0], standin.StreamPath, standin.BusyModel)
 		}
-		return len(leaving.Ran()) == before
+		return len(leaving.RunCounts()) == before
 	})
 }
 
@@ -227,7 +227,7 @@
 	d.until(func() bool {
 		ran := 0
 		for _, s := range d.site.Servers {
-			ran += len(s.Ran())
+			ran += len(s.RunCounts())
 		}
 		return ran >= 8
 	})
--- a/instance/ratelimit_test.go
+++ b/instance/ratelimit_test.go
@@ -49,18 +49,18 @@
 	server := d.site.Servers[len(d.site.Servers)-1] // the only one of its service
 	stop := d.crowd(standin.PlainPath)
 	defer stop()
-	server.NameLimit(limitNamed)
+	server.SetRateLimit(limitNamed)
 	time.Sleep(limitTold)
 	type sample struct {
 		at  time.Time
 		ran int
 	}
-	began := sample{time.Now(), len(server.Ran())}
+	began := sample{time.Now(), len(server.RunCounts())}
 	samples := []sample{began}
 	most, from := 0, 0
 	for time.Since(began.at) < limitWatch {
 		time.Sleep(sampleEvery)
-		now := sample{time.Now(), len(server.Ran())}
+		now := sample{time.Now(), len(server.RunCounts())}
 		samples = append(samples, now)
 		for now.at.Sub(samples[from].at) > limitWindow {
 			from++
--- a/instance/retry_after_test.go
+++ b/instance/retry_after_test.go
@@ -35,7 +35,7 @@
 	server := d.site.Servers[0]
 	server.Refuse(refusalRetryAfter)
 	time.Sleep(2*refusalRetryAfter + refusalRetryAfter/2)
-	refused := server.Refused()
+	refused := server.Refusals()
 	server.Refuse(0)
 	stopLoops()
 	require.NotEmpty(t, refused)
@@ -49,8 +49,8 @@
 		}
 		require.LessOrEqual(t, sent, maxWithinRetryAfter, "from instance %d", sender[first.ID])
 	}
-	before := len(server.Ran())
+	before := len(server.RunCounts())
 	stop := d.streams()
-	d.until(func() bool { return len(server.Ran()) > before })
+	d.until(func() bool { return len(server.RunCounts()) > before })
 	stop()
 }
--- a/quickstart/platform.go
+++ b/quickstart/platform.go
@@ -66,7 +66,7 @@
 	store := platform.NewStore(node.StoreAddr, netconn.NewIdleClosingTransport(storeIdle, time.Minute))
 	return instance.New(instance.Options{
 		Node: node, Source: store, Group: store, Headers: platform.Headers{},
-		Orderer: platform.NewOrders(netconn.Transport(orderIdle, time.Second)),
+		Orderer: platform.NewOrderClient(netconn.Transport(orderIdle, time.Second)),
 		Clock:   netconn.BootTime,
 		Log:     o.Log.WithField("instance", node.Name),
 		Rand:    rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)),
--- a/soak/callers.go
+++ b/soak/callers.go
@@ -141,8 +141,8 @@
 	}
 	defer res.Body.Close()
 	r.Status = res.StatusCode
-	r.Answers, r.Server = standin.Answer(res)
-	r.Limited, r.Leaving = standin.NamesRateLimit(res), standin.ReportsLeaving(res)
+	r.Answers, r.Server = standin.ResponseOrigin(res)
+	r.Limited, r.Leaving = standin.ReportsRateLimit(res), standin.ReportsLeaving(res)
 	body, err := io.ReadAll(res.Body)
 	r.Body = string(body)
 	return err
@@ -171,7 +171,7 @@
 func (r *Result) ask(transport http.RoundTripper, addr string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	req, err := r.Ask.Request(ctx, addr)
+	req, err := r.Ask.HTTPRequest(ctx, addr)
 	if err == nil {
 		req.GetBody = nil // net/http must not send it again by itself
 		err = r.read(transport.RoundTrip(req))
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -295,9 +295,9 @@
 // nameLimit has a server in need name a rate limit of one to six requests a second.
 func nameLimit(w *World, rng *rand.Rand, last time.Duration) error {
 	server := w.anyPlace(rng).server.Load()
-	server.NameLimit(1 + 5*rng.Float64())
+	server.SetRateLimit(1 + 5*rng.Float64())
 	time.Sleep(last)
-	server.NameLimit(0)
+	server.SetRateLimit(0)
 	return nil
 }
 
@@ -342,9 +342,9 @@
 }
 
 func storeLossy(w *World, _ *rand.Rand, last time.Duration) error {
-	w.Store.SetLossy(true)
+	w.Store.SetLoseJoinResponses(true)
 	time.Sleep(last)
-	w.Store.SetLossy(false)
+	w.Store.SetLoseJoinResponses(false)
 	return nil
 }
 
--- a/soak/history.go
+++ b/soak/history.go
@@ -51,14 +51,14 @@
 func newHistory() *History { return &History{versions: map[int]time.Time{}} }
 
 // Arrived implements standin.Observer.
-func (h *History) Arrived(a standin.Arrival) {
+func (h *History) OnRequest(a standin.Arrival) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.arrivals = append(h.arrivals, a)
 }
 
 // Ordered implements standin.Observer.
-func (h *History) Ordered(o standin.Order) {
+func (h *History) OnOrder(o standin.Order) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.orders = append(h.orders, o)
--- a/soak/run.go
+++ b/soak/run.go
@@ -168,9 +168,9 @@
 	server := p.server.Load()
 	server.Drain()
 	_, ok := r.until(r.opts.Bounds.Drain, func() bool {
-		before := len(server.Ran())
+		before := len(server.RunCounts())
 		time.Sleep(quietFor)
-		return len(server.Ran()) == before
+		return len(server.RunCounts()) == before
 	})
 	if !ok {
 		r.broken("a server that leaves gets no more requests", "it still does after %s", r.opts.Bounds.Drain)
--- a/soak/world.go
+++ b/soak/world.go
@@ -128,7 +128,7 @@
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
-	w.storeHTTP = &http.Server{Handler: standin.MapOwners(w.Store, w.peerLinks), ReadHeaderTimeout: time.Second}
+	w.storeHTTP = &http.Server{Handler: standin.RewriteMemberAddrs(w.Store, w.peerLinks), ReadHeaderTimeout: time.Second}
 	w.group.Go(func() { _ = w.storeHTTP.Serve(l) }) // ends when it is closed
 	return l.Addr().String(), nil
 }
@@ -171,7 +171,7 @@
 	}
 	p.opts = standin.ServerOptions{
 		ID: id, Service: service, Addr: p.link.Addr, Domain: p.domain, Slots: serverSlots,
-		LoadTime: modelLoad, Events: streamEvents, Pause: eventPause, Observer: w.History,
+		LoadTime: modelLoad, StreamEvents: streamEvents, EventInterval: eventPause, Observer: w.History,
 	}
 	p.server.Store(standin.NewServer(w.Store, p.opts))
 	p.down.Store(false)
@@ -294,7 +294,7 @@
 // Heal ends every fault: links pass, programs run, servers are up.
 func (w *World) Heal() error {
 	w.Store.SetDown(false)
-	w.Store.SetLossy(false)
+	w.Store.SetLoseJoinResponses(false)
 	for _, p := range w.places {
 		w.Revive(p, false)
 		w.restore(p)
