--- a/instance/instance_test.go
+++ b/instance/instance_test.go
@@ -80,7 +80,7 @@
 	orders := netconn.Transport(1, time.Second)
 	store := platform.NewStore(node.StoreAddr, transport)
 	i := instance.New(instance.Options{
-		Node: node, Source: store, Group: store, Headers: platform.Headers{}, Orderer: platform.NewOrders(orders),
+		Node: node, Source: store, Group: store, Headers: platform.Headers{}, Orderer: platform.NewOrderClient(orders),
 		Clock: netconn.BootTime, Log: log, Rand: rand.New(rand.NewPCG(1, uint64(len(d.instances)))),
 	})
 	ctx, stop := context.WithCancel(context.Background())
@@ -154,7 +154,7 @@
 		status, id, body := d.send(r, standin.PlainPath+"1", "")
 		require.Equal(t, 200, status)
 		require.Contains(t, body, standin.PlainPath+"1")
-		require.Equal(t, 1, d.site.Servers[3].Ran()[id])
+		require.Equal(t, 1, d.site.Servers[3].RunCounts()[id])
 		status, _, body = d.send(r, standin.StreamPath, standin.BusyModel)
 		require.Equal(t, 200, status)
 		require.Equal(t, 10, strings.Count(body, "\n\n"))
@@ -199,11 +199,11 @@
 	leaving := d.site.Servers[0]
 	leaving.Drain()
 	d.waitUntil(func() bool {
-		before := len(leaving.Ran())
+		before := len(leaving.RunCounts())
 		for range 10 {
 			d.send(d.instances[0], standin.StreamPath, standin.BusyModel)
 		}
-		return len(leaving.Ran()) == before
+		return len(leaving.RunCounts()) == before
 	})
 }
 
@@ -228,7 +228,7 @@
 	d.waitUntil(func() bool {
 		ran := 0
 		for _, s := range d.site.Servers {
-			ran += len(s.Ran())
+			ran += len(s.RunCounts())
 		}
 		return ran >= 8
 	})
