--- a/claims/batchers.go
+++ b/claims/batchers.go
@@ -19,17 +19,18 @@
 )
 
 const (
-	// lookEvery is how often the lead of the shards is looked at; the list that
-	// it rests on lags by more.
-	lookEvery = time.Second
-	// lingerFor is how long a batcher that leads no longer, or was only asked
-	// because the leader could not be reached, goes on after its last claim.
-	lingerFor = time.Minute
-	// readyTimeout bounds how long a claim waits for its batcher to have read
-	// the shard's stream: longer, and its caller is better told to come back.
+	// checkInterval is how often the instance checks which shards it leads. The
+	// member list lags by more than this.
+	checkInterval = time.Second
+	// idleTimeout is how long a batcher keeps running after its last claim if
+	// this instance doesn't lead the shard: because it lost the lead, or was
+	// called when the leader was unreachable.
+	idleTimeout = time.Minute
+	// readyTimeout is how long a claim waits for its batcher to read the shard's
+	// stream. After a longer wait it is better to tell the caller to retry.
 	readyTimeout = 2 * time.Second
-	// maxClaims bounds the claims of one call.
-	maxClaims = 512
+	// maxBatchClaims is the maximum number of claims in one call.
+	maxBatchClaims = 512
 )
 
 // Options configures Batchers. Log, Writer, Self and Members are required.
@@ -37,25 +38,27 @@
 	Log     infra.Log
 	Writer  logsync.Appender
 	Self    string          // this instance's id
-	Members func() []string // all live entry instances' ids, as this one lists them
+	Members func() []string // ids of the live entry instances known to this instance
 	Logger  logrus.FieldLogger
 	Metrics *expvar.Map
 }
 
-// Batchers is a duty: this instance's part in the shards' batchers. A shard's
-// batcher reads the shard's stream, puts the claims that come in together on it
-// and answers with their standing. Two at once for one shard are harmless:
-// both answer by what the stream says.
+// Batchers runs the batchers of the shards that this instance leads or was recently
+// called for. An instance leads a shard if rendezvous.Leader returns it for the
+// shard's stream. A shard's batcher reads the stream, appends the claims that
+// arrive together in one batch and answers with their standings. Several batchers
+// for one shard at a time are harmless, because all of them answer according to
+// the order of the stream.
 type Batchers struct {
-	opts   Options
-	wake   chan struct{} // of one: a shard was asked for
-	mu     sync.Mutex    // guards what follows
-	active map[uint32]*shard
-	stop   map[uint32]context.CancelFunc
-	used   map[uint32]time.Time
+	opts     Options
+	wake     chan struct{} // capacity 1: a shard without a running batcher was called
+	mu       sync.Mutex    // guards the fields below
+	active   map[uint32]*shardBatcher
+	cancel   map[uint32]context.CancelFunc
+	lastUsed map[uint32]time.Time
 }
 
-// NewBatchers returns the duty.
+// NewBatchers returns batchers of which none runs yet.
 func NewBatchers(opts Options) *Batchers {
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
@@ -64,24 +67,24 @@
 		opts.Metrics = new(expvar.Map)
 	}
 	return &Batchers{
-		opts:   opts,
-		wake:   make(chan struct{}, 1),
-		active: map[uint32]*shard{},
-		stop:   map[uint32]context.CancelFunc{},
-		used:   map[uint32]time.Time{},
+		opts:     opts,
+		wake:     make(chan struct{}, 1),
+		active:   map[uint32]*shardBatcher{},
+		cancel:   map[uint32]context.CancelFunc{},
+		lastUsed: map[uint32]time.Time{},
 	}
 }
 
-// Run starts and stops shards' batchers until ctx ends. It returns nil.
+// Run starts and stops the batchers of the shards until ctx ends. It returns nil.
 func (b *Batchers) Run(ctx context.Context) error {
 	var group errgroup.Group
 	defer b.clear()
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		members := b.opts.Members()
 		for id := range uint32(Shards) {
-			b.look(ctx, &group, id, members)
+			b.updateBatcher(ctx, &group, id, members)
 		}
 		select {
 		case <-ticker.C:
@@ -92,38 +95,39 @@
 	return group.Wait()
 }
 
-// look starts or stops one shard's batcher.
-func (b *Batchers) look(ctx context.Context, group *errgroup.Group, id uint32, members []string) {
+// updateBatcher starts or stops the batcher of one shard as needed.
+func (b *Batchers) updateBatcher(ctx context.Context, group *errgroup.Group, id uint32, members []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	used, asked := b.used[id]
-	wanted := rendezvous.Leader(Stream(id), members) == b.opts.Self || asked && time.Since(used) < lingerFor
+	lastUsed, called := b.lastUsed[id]
+	wanted := rendezvous.Leader(Stream(id), members) == b.opts.Self || called && time.Since(lastUsed) < idleTimeout
 	running := b.active[id] != nil
 	switch {
 	case wanted && !running:
-		s := newShard(id, b.opts)
-		shardCtx, stop := context.WithCancel(ctx)
-		b.active[id], b.stop[id] = s, stop
+		s := newShardBatcher(id, b.opts)
+		shardCtx, cancel := context.WithCancel(ctx)
+		b.active[id], b.cancel[id] = s, cancel
 		group.Go(func() error { return s.run(shardCtx) })
 	case !wanted && running:
-		b.stop[id]()
+		b.cancel[id]()
 		delete(b.active, id)
-		delete(b.stop, id)
+		delete(b.cancel, id)
 	}
 }
 
+// clear stops all batchers.
 func (b *Batchers) clear() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, stop := range b.stop {
-		stop()
+	for _, cancel := range b.cancel {
+		cancel()
 	}
 	clear(b.active)
-	clear(b.stop)
+	clear(b.cancel)
 }
 
-// Leads says whether this instance now writes the shard's stream, which gives
-// it the stream's part of the log's budget.
+// Leads reports whether this instance runs the batcher of the shard with this
+// stream, and so may use the stream's share of the log's append budget.
 func (b *Batchers) Leads(stream string) bool {
 	id, ok := shardOfStream(stream)
 	b.mu.Lock()
@@ -131,53 +135,55 @@
 	return ok && b.active[id] != nil
 }
 
-// Claim implements peer.ClaimServer. Each claim is an encoded record.Record
-// with a Claim or a ClaimResult on a key of the shard.
+// Claim implements peer.ClaimServer. Each claim is an encoded record.Record with a
+// Claim or a ClaimResult for a key of the shard.
 func (b *Batchers) Claim(ctx context.Context, id uint32, claims [][]byte) ([]*peer.ClaimStanding, error) {
-	records, err := decode(id, claims)
+	records, err := decodeClaims(id, claims)
 	if err != nil {
 		return nil, err
 	}
-	standings, err := b.claim(ctx, id, records)
-	if err != nil { // the claims that were settled before the append are asked for again
-		b.opts.Logger.WithFields(logrus.Fields{"shard": id, "claims": len(records), "error": err}).Warn("claims not kept")
-		return refusals(records, err), nil
+	standings, err := b.handleClaims(ctx, id, records)
+	if err != nil { // this includes claims already answered before the append; their clients retry
+		b.opts.Logger.WithFields(logrus.Fields{"shard": id, "claims": len(records), "error": err}).Warn("batch of claims failed")
+		return failureStandings(records, err), nil
 	}
 	return standings, nil
 }
 
-func (b *Batchers) claim(ctx context.Context, id uint32, records []*record.Record) ([]*peer.ClaimStanding, error) {
-	s, err := b.shard(ctx, id)
+// handleClaims returns the standing of each record, in order. It appends the records
+// that can't be answered from the state read so far.
+func (b *Batchers) handleClaims(ctx context.Context, id uint32, records []*record.Record) ([]*peer.ClaimStanding, error) {
+	s, err := b.shardBatcher(ctx, id)
 	if err != nil {
 		return nil, err
 	}
 	readyCtx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	view, err := s.ready(readyCtx)
+	view, err := s.waitReady(readyCtx)
 	if err != nil {
 		return nil, err
 	}
-	if held := view.remembered(); held >= MaxRemembered {
-		return nil, &FullError{Shard: id, Claims: held}
+	if count := view.claimCount(); count >= MaxClaimsPerShard {
+		return nil, &FullError{Shard: id, Claims: count}
 	}
-	standings, unsettled := settled(view, records)
+	standings, unsettled := answerHeld(view, records)
 	if len(unsettled) == 0 {
 		return standings, nil
 	}
-	first, err := b.opts.Writer.Append(ctx, Stream(id), pick(records, unsettled)...)
+	first, err := b.opts.Writer.Append(ctx, Stream(id), selectRecords(records, unsettled)...)
 	if err != nil {
 		return nil, err
 	}
 	if err := s.follower.WaitFor(ctx, first+infra.Offset(len(unsettled))-1); err != nil {
 		return nil, err
 	}
-	return standings, settle(s, records, unsettled, standings)
+	return standings, answerAppended(s, records, unsettled, standings)
 }
 
-// settled answers the claims on keys that a claim stands on already, which
-// need not go on the log: what stands is another's, or is this attempt's own
-// from an earlier try. It returns the places of the others.
-func settled(view *state, records []*record.Record) (standings []*peer.ClaimStanding, unsettled []int) {
+// answerHeld answers the claims on keys that are already held, by another attempt or
+// by the same attempt from an earlier try. These claims need no append. unsettled
+// contains the indexes of the other records.
+func answerHeld(view *shardState, records []*record.Record) (standings []*peer.ClaimStanding, unsettled []int) {
 	standings = make([]*peer.ClaimStanding, len(records))
 	for i, r := range records {
 		if c := r.GetClaim(); c != nil {
@@ -191,23 +197,26 @@
 	return standings, unsettled
 }
 
-func pick(records []*record.Record, places []int) []*record.Record {
-	out := make([]*record.Record, len(places))
-	for i, place := range places {
-		out[i] = records[place]
+// selectRecords returns the records at the given indexes.
+func selectRecords(records []*record.Record, indexes []int) []*record.Record {
+	out := make([]*record.Record, len(indexes))
+	for i, index := range indexes {
+		out[i] = records[index]
 	}
 	return out
 }
 
-// settle reads the standings off the view that is there now: it may be a newer
-// machine than the one before the append, if the follower began anew.
-func settle(s *shard, records []*record.Record, unsettled []int, standings []*peer.ClaimStanding) error {
+// answerAppended sets the standings of the appended records according to the
+// follower's current view. The view may belong to another state machine than
+// before the append, because the follower may have started over from a later
+// offset.
+func answerAppended(s *shardBatcher, records []*record.Record, unsettled []int, standings []*peer.ClaimStanding) error {
 	view := s.follower.View()
 	if !view.complete() {
 		return &logsync.BehindError{Stream: Stream(s.id), Err: &NotReadyError{Shard: s.id}}
 	}
 	for _, i := range unsettled {
-		standing := Standing{Verdict: Granted} // a result that is on the log
+		standing := Standing{Verdict: Granted} // for a ClaimResult, which is on the log now
 		if c := records[i].GetClaim(); c != nil {
 			standing = view.standing(c)
 		}
@@ -217,13 +226,14 @@
 	return nil
 }
 
-// shard returns the shard's batcher, which Run starts if it isn't at work.
-func (b *Batchers) shard(ctx context.Context, id uint32) (*shard, error) {
+// shardBatcher returns the shard's batcher, and waits for Run to start it if it
+// isn't running. It returns a *NotReadyError after readyTimeout or when ctx ends.
+func (b *Batchers) shardBatcher(ctx context.Context, id uint32) (*shardBatcher, error) {
 	timeout := time.NewTimer(readyTimeout)
 	defer timeout.Stop()
 	for {
 		b.mu.Lock()
-		b.used[id] = time.Now()
+		b.lastUsed[id] = time.Now()
 		s := b.active[id]
 		b.mu.Unlock()
 		if s != nil {
@@ -239,13 +249,14 @@
 	}
 }
 
-// decode reads claims that a peer sent. What isn't a claim on the shard is
-// refused, and nothing of the call goes on the log.
-func decode(id uint32, claims [][]byte) ([]*record.Record, error) {
+// decodeClaims decodes and validates the claims of a call. If one of them isn't
+// a valid claim or result for the shard, the whole call is refused and nothing is
+// appended.
+func decodeClaims(id uint32, claims [][]byte) ([]*record.Record, error) {
 	refuse := func(cause error) error {
 		return &infra.Error{Op: "claims.batch", Reason: infra.ReasonBadRequest, Effect: infra.EffectNone, Err: cause}
 	}
-	if id >= Shards || len(claims) > maxClaims {
+	if id >= Shards || len(claims) > maxBatchClaims {
 		return nil, refuse(nil)
 	}
 	records := make([]*record.Record, len(claims))
@@ -266,9 +277,9 @@
 	return records, nil
 }
 
-// refusals answers every claim of a call alike: kept by the log for certain it
-// is not, or nobody knows.
-func refusals(records []*record.Record, err error) []*peer.ClaimStanding {
+// failureStandings returns the same standing for every record of a failed call:
+// Uncertain if the records may be on the log, otherwise NotKept.
+func failureStandings(records []*record.Record, err error) []*peer.ClaimStanding {
 	verdict := NotKept
 	var failed *infra.Error
 	var behind *logsync.BehindError
@@ -282,8 +293,9 @@
 	return out
 }
 
-// verdicts maps the wire's verdicts; a verdict that isn't here is Uncertain.
-var verdicts = map[peer.ClaimStanding_Verdict]Verdict{
+// wireVerdicts maps the verdicts on the wire to Verdict. A verdict that isn't in the
+// map decodes as Uncertain.
+var wireVerdicts = map[peer.ClaimStanding_Verdict]Verdict{
 	peer.ClaimStanding_GRANTED:   Granted,
 	peer.ClaimStanding_TAKEN:     Taken,
 	peer.ClaimStanding_CONFLICT:  Conflict,
@@ -293,7 +305,7 @@
 
 func encodeStanding(s Standing) *peer.ClaimStanding {
 	out := &peer.ClaimStanding{Instance: s.Instance, Attempt: s.Attempt, Request: s.Request, Outcome: uint32(s.Outcome)}
-	for wire, v := range verdicts {
+	for wire, v := range wireVerdicts {
 		if v == s.Verdict {
 			out.Verdict = wire
 		}
@@ -302,7 +314,7 @@
 }
 
 func decodeStanding(s *peer.ClaimStanding) Standing {
-	verdict, known := verdicts[s.GetVerdict()]
+	verdict, known := wireVerdicts[s.GetVerdict()]
 	if !known {
 		verdict = Uncertain
 	}
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,6 +1,11 @@
-// Package claims lets a keyed non-idempotent request run at most once, whatever
-// instance its caller sends it to. The order of the log's claim streams decides
-// which attempt may run; batchers only save appends.
+// Package claims ensures that a non-idempotent request with an idempotency key
+// runs at most once, whichever instances its caller sends it to.
+//
+// Before an instance runs such a request, its Client claims the key. The claim is
+// a record on the log, in one of the Shards claim streams. The order of the
+// records decides which attempt may run: see replay.Claims. To save appends, each
+// shard has a batcher on one instance, see Batchers, which appends the claims of
+// all instances in batches and answers each with its Standing.
 package claims
 
 import (
@@ -10,41 +15,43 @@
 	"greengageferry/record"
 )
 
-// Shards is the number of claim streams. A key's shard is a function of the
-// key alone.
+// Shards is the number of claim streams. The shard of a key depends only on the
+// key.
 const Shards = 16
 
-// Window is how long a claim is remembered: a resend within it finds the first
-// request. It must be well below the time that the log keeps records
-// (logsync.MinRetention): what aged out of the log is older than the window.
+// Window is how long a claim is remembered. A request resent within this time finds
+// the first one. Window must be well below the retention time of the log
+// (logsync.MinRetention), so that records that aged out of the log are always
+// older than Window.
 const Window = 15 * time.Minute
 
-// Verdict is what a claimant learns.
+// Verdict is the result of a claim.
 type Verdict int
 
-// The verdicts.
+// Verdicts of claims.
 const (
-	Granted   Verdict = iota + 1 // run it: nobody else may
-	Taken                        // an earlier claim holds the key: see Standing
-	Conflict                     // the key was used for another request
-	NotKept                      // the log did not take the claim: it must not run, and did not
-	Uncertain                    // it isn't known whether the claim is on the log: it must not run
+	Granted   Verdict = iota + 1 // the claim holds the key: its request may run, and no other
+	Taken                        // an earlier claim for the same request holds the key; Standing names it
+	Conflict                     // an earlier claim for a different request holds the key
+	NotKept                      // the claim is not on the log: the request must not run
+	Uncertain                    // unknown whether the claim is on the log: the request must not run
 )
 
-// Standing is a claim's standing after it was put on the log.
+// Standing is the answer to a claim.
 type Standing struct {
 	Verdict  Verdict
-	Instance string // with Taken: the entry instance that holds it
-	Attempt  string // with Taken: the holder's attempt
-	Request  string // with Taken: the holder's request id
-	Outcome  record.ClaimResult_Outcome
+	Instance string                     // with Taken: the instance of the holding claim
+	Attempt  string                     // with Taken: the attempt of the holding claim
+	Request  string                     // with Taken: the request id of the holding claim
+	Outcome  record.ClaimResult_Outcome // with Taken: how the holding attempt ended, if known
 }
 
-// Claimer asks for claims. A non-nil error comes with Verdict NotKept or Uncertain.
+// Claimer claims keys and reports the results of granted claims.
 type Claimer interface {
-	// Claim asks to run the request once.
+	// Claim asks for permission to run the request. A non-nil error comes with
+	// Verdict NotKept or Uncertain.
 	Claim(ctx context.Context, c *record.Claim) (Standing, error)
-	// Result tells the log how a granted claim ended. It is best effort, except
-	// that NOT_RUN frees the key, and is sent until ctx ends.
+	// Result records on the log how the request of a claim ended; NOT_RUN
+	// releases the key. It retries until it succeeds or ctx ends.
 	Result(ctx context.Context, r *record.ClaimResult) error
 }
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -22,61 +22,65 @@
 
 func TestMain(m *testing.M) { testmain.Run(m) }
 
-func quiet() logrus.FieldLogger {
+// discardLogger returns a logger without output.
+func discardLogger() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-type wide struct{}
+// unlimitedBudget is a logsync.Budget that never limits appends.
+type unlimitedBudget struct{}
 
-func (wide) Rate(string) (float64, int) { return 1e9, 1 << 20 }
+func (unlimitedBudget) Rate(string) (float64, int) { return 1e9, 1 << 20 }
 
-// network joins the nodes' batchers, with faults.
-type network struct {
-	mu      sync.Mutex
-	rng     *rand.Rand
-	lose    float64 // the part of requests lost, and of answers
-	dead    map[string]bool
-	servers map[string]peer.ClaimServer // by address, which is the id
+// faultyNetwork connects the nodes' batchers and loses messages.
+type faultyNetwork struct {
+	mu       sync.Mutex
+	rng      *rand.Rand
+	lossRate float64 // probability that a request is lost, and that an answer is
+	dead     map[string]bool
+	servers  map[string]peer.ClaimServer // by address, which equals the id
 }
 
 // Claim implements Remote.
-func (n *network) Claim(ctx context.Context, addr string, shard uint32, claims [][]byte) ([]*peer.ClaimStanding, error) {
+func (n *faultyNetwork) Claim(ctx context.Context, addr string, shard uint32, claims [][]byte) ([]*peer.ClaimStanding, error) {
 	lost := &infra.Error{Op: "peer.claim", Addr: addr, Reason: infra.ReasonTimeout, Effect: infra.EffectUnknown}
-	if n.dead[addr] || n.draw() {
+	if n.dead[addr] || n.loseMessage() {
 		return nil, lost
 	}
 	standings, err := n.servers[addr].Claim(ctx, shard, claims)
-	if n.draw() {
+	if n.loseMessage() {
 		return nil, lost
 	}
 	return standings, err
 }
 
-func (n *network) draw() bool {
+// loseMessage reports whether the next message is lost.
+func (n *faultyNetwork) loseMessage() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.rng.Float64() < n.lose
+	return n.rng.Float64() < n.lossRate
 }
 
-// node is one entry instance's part in claims.
+// node is an entry instance with its client and batchers.
 type node struct {
 	client   *Client
 	batchers *Batchers
 	log      *logtest.Client
 }
 
-// cluster starts nodes; lists gives each one's view of the members.
-func cluster(t *testing.T, log *logtest.Log, lists map[string][]string, seed uint64) (map[string]*node, *network) {
-	net := &network{rng: rand.New(rand.NewPCG(seed, 1)), dead: map[string]bool{}, servers: map[string]peer.ClaimServer{}}
+// startCluster starts one node for each id in lists, which contains the members
+// known to each node.
+func startCluster(t *testing.T, log *logtest.Log, lists map[string][]string, seed uint64) (map[string]*node, *faultyNetwork) {
+	net := &faultyNetwork{rng: rand.New(rand.NewPCG(seed, 1)), dead: map[string]bool{}, servers: map[string]peer.ClaimServer{}}
 	nodes := map[string]*node{}
 	for id, list := range lists {
 		n := &node{log: log.Client()}
-		writer := logsync.NewWriter(logsync.WriterOptions{Log: n.log, Origin: id, Budget: wide{}, Logger: quiet()})
-		n.batchers = NewBatchers(Options{Log: n.log, Writer: writer, Self: id, Members: func() []string { return list }, Logger: quiet()})
+		writer := logsync.NewWriter(logsync.WriterOptions{Log: n.log, Origin: id, Budget: unlimitedBudget{}, Logger: discardLogger()})
+		n.batchers = NewBatchers(Options{Log: n.log, Writer: writer, Self: id, Members: func() []string { return list }, Logger: discardLogger()})
 		n.client = NewClient(ClientOptions{
-			Local: n.batchers, Remote: net, Self: infra.Instance{ID: id, Addr: id, FailureDomain: "d"}, Logger: quiet(),
+			Local: n.batchers, Remote: net, Self: infra.Instance{ID: id, Addr: id, FailureDomain: "d"}, Logger: discardLogger(),
 			Members: func() []infra.Instance { return instances(list) },
 		})
 		net.servers[id] = n.batchers
@@ -96,7 +100,8 @@
 	return out
 }
 
-func agreed(ids ...string) map[string][]string {
+// sameMembers returns lists in which all nodes know the same members.
+func sameMembers(ids ...string) map[string][]string {
 	lists := map[string][]string{}
 	for _, id := range ids {
 		lists[id] = ids
@@ -104,45 +109,47 @@
 	return lists
 }
 
+// key returns the encoded key of a number.
 func key(k int) []byte {
 	out := make([]byte, 32)
 	out[0], out[1] = byte(k), byte(k>>8)
 	return out
 }
 
-func claimOf(k int, attempt string) *record.Claim {
+// testClaim returns a claim of an attempt on a key.
+func testClaim(k int, attempt string) *record.Claim {
 	return &record.Claim{Key: key(k), Fingerprint: key(0), Instance: "i", Attempt: attempt, Request: "r-" + attempt}
 }
 
-func TestSecondClaimFindsTheFirst(t *testing.T) {
+func TestSecondClaimFindsFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := cluster(t, logtest.New(), agreed("a", "b", "c"), 1)
-		first, err := nodes["a"].client.Claim(t.Context(), claimOf(1, "one"))
+		nodes, _ := startCluster(t, logtest.New(), sameMembers("a", "b", "c"), 1)
+		first, err := nodes["a"].client.Claim(t.Context(), testClaim(1, "one"))
 		require.NoError(t, err)
 		require.Equal(t, Granted, first.Verdict)
-		second, err := nodes["b"].client.Claim(t.Context(), claimOf(1, "two"))
+		second, err := nodes["b"].client.Claim(t.Context(), testClaim(1, "two"))
 		require.NoError(t, err)
 		require.Equal(t, Standing{Verdict: Taken, Instance: "i", Attempt: "one", Request: "r-one"}, second)
-		other := claimOf(1, "three")
+		other := testClaim(1, "three")
 		other.Fingerprint = key(9)
 		conflict, err := nodes["c"].client.Claim(t.Context(), other)
 		require.NoError(t, err)
 		require.Equal(t, Conflict, conflict.Verdict)
 		require.NoError(t, nodes["a"].client.Result(t.Context(), &record.ClaimResult{Key: key(1), Attempt: "one", Outcome: record.ClaimResult_NOT_RUN}))
-		third, err := nodes["b"].client.Claim(t.Context(), claimOf(1, "two"))
+		third, err := nodes["b"].client.Claim(t.Context(), testClaim(1, "two"))
 		require.NoError(t, err)
 		require.Equal(t, Granted, third.Verdict)
 	})
 }
 
-func TestLogOutIsNotKept(t *testing.T) {
+func TestClaimNotKeptDuringLogOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, _ := cluster(t, logtest.New(), agreed("a", "b"), 1)
+		nodes, _ := startCluster(t, logtest.New(), sameMembers("a", "b"), 1)
 		time.Sleep(time.Second)
 		for _, n := range nodes {
 			n.log.Set(logtest.Faults{Down: true})
 		}
-		standing, err := nodes["a"].client.Claim(t.Context(), claimOf(1, "one"))
+		standing, err := nodes["a"].client.Claim(t.Context(), testClaim(1, "one"))
 		var failed *Error
 		require.ErrorAs(t, err, &failed)
 		require.Equal(t, NotKept, standing.Verdict)
@@ -150,21 +157,21 @@
 			n.log.Set(logtest.Faults{})
 		}
 		time.Sleep(time.Minute)
-		standing, err = nodes["b"].client.Claim(t.Context(), claimOf(1, "two"))
+		standing, err = nodes["b"].client.Claim(t.Context(), testClaim(1, "two"))
 		require.NoError(t, err)
 		require.Equal(t, Granted, standing.Verdict)
 	})
 }
 
-func TestBatcherDead(t *testing.T) {
+func TestUnreachableBatchers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		nodes, net := cluster(t, logtest.New(), agreed("a", "b", "c"), 1)
+		nodes, net := startCluster(t, logtest.New(), sameMembers("a", "b", "c"), 1)
 		for dead := range nodes {
 			net.dead[dead] = true
 		}
 		for k := range 20 {
 			for id, n := range nodes {
-				standing, err := n.client.Claim(t.Context(), claimOf(k, id))
+				standing, err := n.client.Claim(t.Context(), testClaim(k, id))
 				require.NoError(t, err)
 				require.NotEqual(t, NotKept, standing.Verdict)
 			}
@@ -172,21 +179,22 @@
 	})
 }
 
-// TestWindow: a claim is remembered for the window and not for much longer, and
-// a batcher that begins after records aged out knows what it may forget.
-func TestWindow(t *testing.T) {
+// TestClaimExpiresAfterWindow checks that a claim is remembered for Window and not
+// much longer, and that a batcher that starts after records aged out of the log
+// expires them.
+func TestClaimExpiresAfterWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
-		nodes, net := cluster(t, log, agreed("a", "b"), 1)
+		nodes, net := startCluster(t, log, sameMembers("a", "b"), 1)
 		verdict := func(id, attempt string) Verdict {
-			standing, err := nodes[id].client.Claim(t.Context(), claimOf(1, attempt))
+			standing, err := nodes[id].client.Claim(t.Context(), testClaim(1, attempt))
 			require.NoError(t, err)
 			return standing.Verdict
 		}
 		require.Equal(t, Granted, verdict("a", "one"))
 		time.Sleep(Window - time.Second)
 		require.Equal(t, Taken, verdict("b", "two"))
-		time.Sleep(2*expiryEvery + time.Second)
+		time.Sleep(2*expiryInterval + time.Second)
 		require.Equal(t, Granted, verdict("b", "three"))
 		time.Sleep(logsync.MinRetention)
 		stream := Stream(ShardOf(key(1)))
@@ -198,13 +206,13 @@
 	})
 }
 
-func TestBatcherRefusesWhatIsNoClaimOfItsShard(t *testing.T) {
-	b := NewBatchers(Options{Members: func() []string { return nil }, Logger: quiet()})
+func TestBatcherRejectsInvalidClaims(t *testing.T) {
+	b := NewBatchers(Options{Members: func() []string { return nil }, Logger: discardLogger()})
 	id := ShardOf(key(1))
 	for name, data := range map[string][]byte{"garbage": {0xff}, "empty": {}, "nothing": nil} {
 		_, err := b.Claim(t.Context(), id, [][]byte{data})
-		require.True(t, surelyNone(err), name)
+		require.True(t, hadNoEffect(err), name)
 	}
 	_, err := b.Claim(t.Context(), Shards, nil)
-	require.True(t, surelyNone(err))
+	require.True(t, hadNoEffect(err))
 }
--- a/claims/client.go
+++ b/claims/client.go
@@ -15,56 +15,59 @@
 )
 
 const (
-	// claimTimeout bounds a claim with all its tries: a caller that has to be
-	// refused should hear it while it can still try elsewhere.
+	// claimTimeout is the time limit of a claim with all its tries. A caller
+	// that is refused should learn so while it can still try elsewhere.
 	claimTimeout = 5 * time.Second
-	// remoteTimeout bounds one try with another instance, so that a dead one
-	// leaves time for the next.
+	// remoteTimeout is the time limit of one call to another instance, so that
+	// an unreachable instance leaves time for the next one.
 	remoteTimeout = 1500 * time.Millisecond
-	// resultPause is between two tries to tell the log of a claim's end.
-	resultPause = time.Second
+	// resultRetryDelay is the delay between two tries to record a claim's result.
+	resultRetryDelay = time.Second
 )
 
-// Remote asks another instance's batchers; *peer.Client implements it.
+// Remote calls the batchers of another instance. *peer.Client implements it.
 type Remote interface {
 	Claim(ctx context.Context, addr string, shard uint32, claims [][]byte) ([]*peer.ClaimStanding, error)
 }
 
-// ClientOptions configures a Client. All but Logger are required.
+// ClientOptions configures a Client. All fields but Logger are required.
 type ClientOptions struct {
 	Local  *Batchers
 	Remote Remote
-	Self   infra.Instance
-	// Members returns the live entry instances, as this one lists them.
+	Self   infra.Instance // this instance
+	// Members returns the live entry instances known to this instance.
 	Members func() []infra.Instance
 	Logger  logrus.FieldLogger
 }
 
-// Client implements Claimer: it asks the shard's batcher; if that can't help,
-// the one that ranks first in the own failure domain, so that a domain which
-// is cut off from the others still batches; and at last this instance's own.
+// Client implements Claimer. It calls the shard's batcher first. If that fails, it
+// calls the batcher on the instance that ranks first for the shard in its own
+// failure domain, so that a domain partitioned from the others still batches
+// claims. Last, it uses the batcher of its own instance.
 //
-// A try whose answer was lost is made again by the next one under the same
-// attempt: whichever of the two records comes first on the log, the claim is
-// this attempt's.
+// When the answer of a batcher is lost, the client sends the claim to the next
+// batcher with the same attempt. Whichever of the two records comes first on the
+// log, the claim belongs to this attempt.
 //
-// A claim that is on the log and may not run would stand once the one before it
-// is freed. So the client withdraws it, after its last try: only then can no
-// batcher still grant it.
+// A claim that is on the log but wasn't granted would hold the key once the earlier
+// claim is released. The client therefore withdraws it by a NOT_RUN result, but
+// only after its last try, when no batcher can grant it any more.
 type Client struct {
 	opts ClientOptions
-	// withdrawn is a ring of attempts that don't run. Full: the newest is
-	// dropped and counted, and its key may stay taken until the window is over.
-	withdrawn chan *record.ClaimResult
-	outages   [Shards]outage
+	// withdrawals queues the NOT_RUN results of claims to withdraw. If it is
+	// full, a new withdrawal is dropped and logged, and its key may stay held
+	// until Window has passed.
+	withdrawals chan *record.ClaimResult
+	breakers    [Shards]circuitBreaker
 }
 
 const (
-	// withdrawals bounds the ring: more losing claims than that at a time come
-	// only with an outage of the log, in which none gets on it.
-	withdrawals = 256
-	// withdrawFor is how long a withdrawal is tried.
-	withdrawFor = 30 * time.Second
+	// withdrawalBuffer is the capacity of the withdrawal queue. More losing
+	// claims at a time occur only while the log is unavailable, and then none of
+	// them is appended.
+	withdrawalBuffer = 256
+	// withdrawTimeout is the time limit of one withdrawal with all its tries.
+	withdrawTimeout = 30 * time.Second
 )
 
 // NewClient returns a client.
@@ -72,15 +75,15 @@
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
 	}
-	return &Client{opts: opts, withdrawn: make(chan *record.ClaimResult, withdrawals)}
+	return &Client{opts: opts, withdrawals: make(chan *record.ClaimResult, withdrawalBuffer)}
 }
 
-// Run withdraws claims that may not run, until ctx ends. It returns nil.
+// Run processes queued withdrawals until ctx ends. It returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	for {
 		select {
-		case r := <-c.withdrawn:
-			tryCtx, cancel := context.WithTimeout(ctx, withdrawFor)
+		case r := <-c.withdrawals:
+			tryCtx, cancel := context.WithTimeout(ctx, withdrawTimeout)
 			if err := c.Result(tryCtx, r); err != nil {
 				c.opts.Logger.WithFields(logrus.Fields{"attempt": r.GetAttempt(), "error": err}).Warn("claim not withdrawn")
 			}
@@ -91,10 +94,11 @@
 	}
 }
 
+// withdraw queues the withdrawal of a claim that must not run.
 func (c *Client) withdraw(claim *record.Claim) {
 	r := &record.ClaimResult{Key: claim.GetKey(), Attempt: claim.GetAttempt(), Outcome: record.ClaimResult_NOT_RUN}
 	select {
-	case c.withdrawn <- r:
+	case c.withdrawals <- r:
 	default:
 		c.opts.Logger.WithField("attempt", claim.GetAttempt()).Warn("withdrawal dropped")
 	}
@@ -105,12 +109,12 @@
 	ctx, cancel := context.WithTimeout(callerCtx, claimTimeout)
 	defer cancel()
 	shard := ShardOf(claim.GetKey())
-	outage := &c.outages[shard]
-	if err := outage.enter(time.Now()); err != nil {
+	breaker := &c.breakers[shard]
+	if err := breaker.allow(time.Now()); err != nil {
 		return Standing{Verdict: NotKept}, &Error{Shard: shard, Verdict: NotKept, Err: err}
 	}
-	standing, queued, err := c.ask(ctx, claim.GetKey(), &record.Record{Body: &record.Record_Claim{Claim: claim}})
-	outage.leave(time.Now(), tryEnd(callerCtx, err))
+	standing, queued, err := c.requestStanding(ctx, claim.GetKey(), &record.Record{Body: &record.Record_Claim{Claim: claim}})
+	breaker.report(time.Now(), classifyCall(callerCtx, err))
 	if queued {
 		c.withdraw(claim)
 	}
@@ -121,11 +125,11 @@
 func (c *Client) Result(ctx context.Context, result *record.ClaimResult) error {
 	r := &record.Record{Body: &record.Record_ClaimResult{ClaimResult: result}}
 	for {
-		_, _, err := c.ask(ctx, result.GetKey(), r)
+		_, _, err := c.requestStanding(ctx, result.GetKey(), r)
 		if err == nil || ctx.Err() != nil {
 			return err
 		}
-		timer := time.NewTimer(resultPause)
+		timer := time.NewTimer(resultRetryDelay)
 		select {
 		case <-timer.C:
 		case <-ctx.Done():
@@ -134,24 +138,25 @@
 	}
 }
 
-// ask asks one batcher after another for a standing. queued says that the record
-// may be on the log without being granted.
-func (c *Client) ask(ctx context.Context, key []byte, r *record.Record) (standing Standing, queued bool, err error) {
+// requestStanding sends the record to one batcher after another until one returns a
+// definite standing. queued is true if the record may be on the log without having
+// been granted.
+func (c *Client) requestStanding(ctx context.Context, key []byte, r *record.Record) (standing Standing, queued bool, err error) {
 	shard := ShardOf(key)
 	data, err := proto.Marshal(r)
 	if err != nil {
 		return Standing{Verdict: NotKept}, false, &Error{Shard: shard, Verdict: NotKept, Err: err}
 	}
 	failure := &Error{Shard: shard, Verdict: NotKept}
-	for _, batcher := range c.batchers(shard) {
-		got, err := c.try(ctx, batcher, shard, data)
+	for _, batcher := range c.batcherCandidates(shard) {
+		got, err := c.callBatcher(ctx, batcher, shard, data)
 		standing := decodeStanding(got)
 		switch {
 		case err == nil && standing.Verdict == Granted:
 			return standing, false, nil
 		case err == nil && (standing.Verdict == Taken || standing.Verdict == Conflict):
 			return standing, queued || got.GetQueued(), nil
-		case standing.Verdict == Uncertain && !surelyNone(err):
+		case standing.Verdict == Uncertain && !hadNoEffect(err):
 			failure.Verdict = Uncertain
 			queued = true
 		}
@@ -163,9 +168,9 @@
 	return Standing{Verdict: failure.Verdict}, queued, failure
 }
 
-// try asks one batcher. Without an answer the standing is nil, which reads as
-// uncertain.
-func (c *Client) try(ctx context.Context, batcher infra.Instance, shard uint32, data []byte) (*peer.ClaimStanding, error) {
+// callBatcher sends the encoded record to one batcher. On an error the standing is
+// nil, which decodeStanding decodes as Uncertain.
+func (c *Client) callBatcher(ctx context.Context, batcher infra.Instance, shard uint32, data []byte) (*peer.ClaimStanding, error) {
 	var standings []*peer.ClaimStanding
 	var err error
 	if batcher.ID == c.opts.Self.ID {
@@ -184,8 +189,8 @@
 	return standings[0], nil
 }
 
-// batchers returns whom to ask, in order, each once.
-func (c *Client) batchers(shard uint32) []infra.Instance {
+// batcherCandidates returns the instances to call, in order and without duplicates.
+func (c *Client) batcherCandidates(shard uint32) []infra.Instance {
 	members := c.opts.Members()
 	byID := make(map[string]infra.Instance, len(members))
 	var all, near []string
@@ -209,7 +214,8 @@
 	return out
 }
 
-func surelyNone(err error) bool {
+// hadNoEffect reports whether the error says that nothing was appended.
+func hadNoEffect(err error) bool {
 	var failed *infra.Error
 	return errors.As(err, &failed) && failed.Effect == infra.EffectNone
 }
--- a/claims/errors.go
+++ b/claims/errors.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-// Error says why a claim has no standing. Its verdict is NotKept or Uncertain.
+// Error reports a failed claim. Its verdict is NotKept or Uncertain.
 type Error struct {
 	Shard   uint32
 	Verdict Verdict
-	Err     error // the last cause
+	Err     error // error of the batcher asked last
 }
 
 // Error implements error.
@@ -14,28 +14,30 @@
 	return fmt.Sprintf("claim on shard %d %s: %v", e.Shard, e.Verdict, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotReadyError says that a batcher hasn't yet read all that its shard's stream
-// remembers: it can't tell whether a key is taken.
+// NotReadyError reports that a batcher hasn't yet read all unexpired claims of its
+// shard and so can't tell whether a key is held.
 type NotReadyError struct{ Shard uint32 }
 
 // Error implements error.
-func (e *NotReadyError) Error() string { return fmt.Sprintf("shard %d isn't read yet", e.Shard) }
+func (e *NotReadyError) Error() string {
+	return fmt.Sprintf("shard %d has not been read completely yet", e.Shard)
+}
 
-// FullError says that a shard remembers as many claims as an instance may hold.
+// FullError reports that a shard has reached MaxClaimsPerShard.
 type FullError struct {
 	Shard  uint32
-	Claims int
+	Claims int // claims in the shard
 }
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("shard %d remembers %d claims", e.Shard, e.Claims)
+	return fmt.Sprintf("shard %d is full with %d claims", e.Shard, e.Claims)
 }
 
-// String returns the name used in logs.
+// String returns the verdict's name for logs.
 func (v Verdict) String() string {
 	switch v {
 	case Granted:
--- a/claims/outage.go
+++ b/claims/outage.go
@@ -6,72 +6,74 @@
 	"time"
 )
 
-// outageProbe is the time between two claims that are tried during an outage.
-// The others are refused at once: their callers learn in a millisecond what
-// they would otherwise learn in seconds, and can come back.
-const outageProbe = time.Second
+// probeInterval is the time between two claims that are tried while the circuit
+// breaker is open. The others fail within a millisecond instead of after seconds,
+// so that their callers can soon retry.
+const probeInterval = time.Second
 
-// OutageError says that a claim was not tried, since one just failed with every
-// batcher: it did not run.
-type OutageError struct{ Since time.Time }
+// CircuitOpenError reports that a claim was not tried, because recent claims on its
+// shard failed with every batcher. The request did not run. Since is the time of
+// the first failure.
+type CircuitOpenError struct{ Since time.Time }
 
 // Error implements error.
-func (e *OutageError) Error() string {
+func (e *CircuitOpenError) Error() string {
 	return "claims have failed with every batcher since " + e.Since.Format(time.RFC3339Nano)
 }
 
-// outage remembers that a shard's claims fail. It is for outages of the log under load:
-// without it each keyed request would hold its caller for all its tries.
-type outage struct {
-	mu    sync.Mutex
-	since time.Time // the first failure; zero: claims are taken
-	probe time.Time // when the next claim is tried
+// circuitBreaker makes claims on a shard fail fast while the log is unavailable.
+// Without it, under load, each keyed request would occupy its caller until all
+// tries have timed out.
+type circuitBreaker struct {
+	mu        sync.Mutex
+	openSince time.Time // time of the first failure; zero while the breaker is closed
+	nextProbe time.Time // time from which the next claim is tried
 }
 
-// enter returns an *OutageError if the claim is not to be tried. One that is
-// tried during an outage keeps the others out for as long as it may take.
-func (o *outage) enter(now time.Time) error {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.since.IsZero() {
+// allow returns a *CircuitOpenError if the claim must not be tried. A claim that is
+// tried while the breaker is open blocks the others for up to claimTimeout.
+func (b *circuitBreaker) allow(now time.Time) error {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.openSince.IsZero() {
 		return nil
 	}
-	if now.Before(o.probe) {
-		return &OutageError{Since: o.since}
+	if now.Before(b.nextProbe) {
+		return &CircuitOpenError{Since: b.openSince}
 	}
-	o.probe = now.Add(claimTimeout)
+	b.nextProbe = now.Add(claimTimeout)
 	return nil
 }
 
-// end says how a claim that was tried ended.
-type end int
+// callResult is the result of a claim that was tried.
+type callResult int
 
 const (
-	endTaken   end = iota // the log took it, whoever holds the key
-	endFailed             // with every batcher
-	endUnknown            // its caller's own deadline came first, which says nothing
+	callSucceeded callResult = iota // the claim got a standing, whoever holds the key
+	callFailed                      // failed with every batcher
+	callAborted                     // the caller's context ended first, which says nothing about the log
 )
 
-// tryEnd returns how a claim ended.
-func tryEnd(callerCtx context.Context, err error) end {
+// classifyCall returns the result of a claim from its error.
+func classifyCall(callerCtx context.Context, err error) callResult {
 	switch {
 	case err == nil:
-		return endTaken
+		return callSucceeded
 	case callerCtx.Err() != nil:
-		return endUnknown
+		return callAborted
 	}
-	return endFailed
+	return callFailed
 }
 
-// leave takes in how a claim that was tried ended.
-func (o *outage) leave(now time.Time, e end) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
+// report records the result of a claim that was tried.
+func (b *circuitBreaker) report(now time.Time, result callResult) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	switch {
-	case e == endTaken:
-		o.since = time.Time{}
-	case e == endFailed && o.since.IsZero():
-		o.since = now
+	case result == callSucceeded:
+		b.openSince = time.Time{}
+	case result == callFailed && b.openSince.IsZero():
+		b.openSince = now
 	}
-	o.probe = now.Add(outageProbe)
+	b.nextProbe = now.Add(probeInterval)
 }
--- a/claims/outage_test.go
+++ b/claims/outage_test.go
@@ -8,26 +8,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestOutageRefusesAtOnceAndProbes(t *testing.T) {
+func TestCircuitBreakerFailsFastAndProbes(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var o outage
-	require.NoError(t, o.enter(now))
-	require.NoError(t, o.enter(now), "any number while claims are taken")
-	o.leave(now, endUnknown)
-	require.NoError(t, o.enter(now), "a caller's own short deadline is no outage")
-	o.leave(now, endFailed)
+	var breaker circuitBreaker
+	require.NoError(t, breaker.allow(now))
+	require.NoError(t, breaker.allow(now), "all claims are tried while the breaker is closed")
+	breaker.report(now, callAborted)
+	require.NoError(t, breaker.allow(now), "a caller's own deadline does not open the breaker")
+	breaker.report(now, callFailed)
 
-	var refused *OutageError
-	require.True(t, errors.As(o.enter(now.Add(outageProbe/2)), &refused))
+	var refused *CircuitOpenError
+	require.True(t, errors.As(breaker.allow(now.Add(probeInterval/2)), &refused))
 	require.Equal(t, now, refused.Since)
 
-	later := now.Add(outageProbe)
-	require.NoError(t, o.enter(later), "the probe")
-	require.Error(t, o.enter(later.Add(outageProbe)), "one probe at a time")
-	o.leave(later.Add(time.Second), endUnknown)
-	require.Error(t, o.enter(later.Add(time.Second)))
-	require.NoError(t, o.enter(later.Add(time.Second+outageProbe)))
-	o.leave(later.Add(2*time.Second), endTaken)
-	require.NoError(t, o.enter(later.Add(2*time.Second)))
-	require.NoError(t, o.enter(later.Add(2*time.Second)))
+	later := now.Add(probeInterval)
+	require.NoError(t, breaker.allow(later), "the probe")
+	require.Error(t, breaker.allow(later.Add(probeInterval)), "one probe at a time")
+	breaker.report(later.Add(time.Second), callAborted)
+	require.Error(t, breaker.allow(later.Add(time.Second)))
+	require.NoError(t, breaker.allow(later.Add(time.Second+probeInterval)))
+	breaker.report(later.Add(2*time.Second), callSucceeded)
+	require.NoError(t, breaker.allow(later.Add(2*time.Second)))
+	require.NoError(t, breaker.allow(later.Add(2*time.Second)))
 }
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -19,134 +19,141 @@
 
 const (
 	streamPrefix = "claims/"
-	// expiryEvery is how often a batcher forgets what is older than Window: a
-	// claim is then remembered for at most this much longer.
-	expiryEvery = time.Minute
-	// MaxRemembered bounds the claims that a batcher holds for a shard, about
-	// 250 bytes each. At the full rate of a shard's appends a window has far
-	// more room than callers' keyed requests need; what is over it is refused.
-	MaxRemembered = 40_000
+	// expiryInterval is how often a batcher expires claims older than Window. A
+	// claim is remembered for at most this much longer than Window.
+	expiryInterval = time.Minute
+	// MaxClaimsPerShard is the maximum number of unexpired claims of a shard;
+	// further claims are refused. A claim takes about 250 bytes. At its full
+	// append rate, a shard has room for far more claims within Window than the
+	// callers' keyed requests need.
+	MaxClaimsPerShard = 40_000
 )
 
-// Stream names a shard's stream.
+// Stream returns the name of a shard's stream.
 func Stream(shard uint32) string { return streamPrefix + strconv.Itoa(int(shard)) }
 
 // ShardOf returns the shard of a key.
 func ShardOf(key []byte) uint32 { return uint32(xxhash.Sum64(key) % Shards) }
 
-// shardOfStream is the reverse of Stream.
+// shardOfStream returns the shard of a stream named by Stream, or false for any
+// other stream.
 func shardOfStream(stream string) (uint32, bool) {
 	number, found := strings.CutPrefix(stream, streamPrefix)
 	shard, err := strconv.ParseUint(number, 10, 32)
 	return uint32(shard), found && err == nil && shard < Shards
 }
 
-// state is the claims machine of one shard, guarded, since the batcher asks it
-// while the follower steps it. It is its own view.
-type state struct {
+// shardState is the state machine of one shard's claims with a mutex, because the
+// batcher reads the state while the follower applies records. It implements
+// logsync.State and is its own view.
+type shardState struct {
 	mu     sync.Mutex
 	claims *replay.Claims
-	from   infra.Offset // the first record that it was given
+	start  infra.Offset // offset of the first record to apply
 }
 
-func newState(from infra.Offset) *state {
-	return &state{claims: replay.NewClaims(from), from: from}
+func newShardState(start infra.Offset) *shardState {
+	return &shardState{claims: replay.NewClaims(start), start: start}
 }
 
 // Apply implements replay.Machine.
-func (s *state) Apply(offset infra.Offset, r *record.Record) {
+func (s *shardState) Apply(offset infra.Offset, r *record.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.claims.Apply(offset, r)
 }
 
 // Offset implements replay.Machine.
-func (s *state) Offset() infra.Offset {
+func (s *shardState) Offset() infra.Offset {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.claims.Offset()
 }
 
-// Checkpoint implements replay.Machine: claims have none.
-func (s *state) Checkpoint() *record.Checkpoint { return nil }
+// Checkpoint implements replay.Machine. It returns nil, as claims have no
+// checkpoints.
+func (s *shardState) Checkpoint() *record.Checkpoint { return nil }
 
 // Restore implements replay.Machine.
-func (s *state) Restore(c *record.Checkpoint) error {
+func (s *shardState) Restore(c *record.Checkpoint) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.claims.Restore(c)
 }
 
 // View implements logsync.State.
-func (s *state) View() *state { return s }
+func (s *shardState) View() *shardState { return s }
 
-func (s *state) complete() bool {
+// complete reports whether all unexpired claims have been read.
+func (s *shardState) complete() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.claims.Complete()
 }
 
-func (s *state) remembered() int {
+// claimCount returns the number of unexpired claims.
+func (s *shardState) claimCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.claims.Len()
 }
 
-// standing says how a claim stands as of what was read. It is NotKept if
-// nobody's claim stands on the key.
-func (s *state) standing(c *record.Claim) Standing {
+// standing returns the standing of the claim as of the records read. The verdict is
+// NotKept if no claim holds the key.
+func (s *shardState) standing(c *record.Claim) Standing {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held, stands := s.claims.Standing(replay.ClaimKey(c.GetKey()))
+	holder, found := s.claims.Standing(replay.ClaimKey(c.GetKey()))
 	switch {
-	case !stands:
+	case !found:
 		return Standing{Verdict: NotKept}
-	case held.Attempt == c.GetAttempt():
-		return Standing{Verdict: Granted, Instance: held.Instance, Attempt: held.Attempt, Request: held.Request}
-	case held.Fingerprint != replay.Fingerprint(c.GetFingerprint()):
+	case holder.Attempt == c.GetAttempt():
+		return Standing{Verdict: Granted, Instance: holder.Instance, Attempt: holder.Attempt, Request: holder.Request}
+	case holder.Fingerprint != replay.Fingerprint(c.GetFingerprint()):
 		return Standing{Verdict: Conflict}
 	}
-	return Standing{Verdict: Taken, Instance: held.Instance, Attempt: held.Attempt, Request: held.Request, Outcome: held.Outcome}
+	return Standing{Verdict: Taken, Instance: holder.Instance, Attempt: holder.Attempt, Request: holder.Request, Outcome: holder.Outcome}
 }
 
-// shard is one shard's batcher while it is at work on this instance.
-type shard struct {
+// shardBatcher is the running batcher of one shard.
+type shardBatcher struct {
 	id       uint32
-	follower *logsync.Follower[state]
+	follower *logsync.Follower[shardState]
 	writer   logsync.Appender
 	logger   logrus.FieldLogger
 }
 
-func newShard(id uint32, opts Options) *shard {
+func newShardBatcher(id uint32, opts Options) *shardBatcher {
 	logger := opts.Logger.WithField("shard", id)
-	return &shard{
+	return &shardBatcher{
 		id:     id,
 		writer: opts.Writer,
 		logger: logger,
-		follower: logsync.NewFollower(logsync.FollowerOptions[state]{
+		follower: logsync.NewFollower(logsync.FollowerOptions[shardState]{
 			Log:        opts.Log,
 			Stream:     Stream(id),
-			New:        func(from infra.Offset) logsync.State[state] { return newState(from) },
+			New:        func(from infra.Offset) logsync.State[shardState] { return newShardState(from) },
 			FromOldest: true,
-			Spacing:    -1, // a claim's answer waits for its record to be read
+			Spacing:    -1, // no delay between reads: a claim is answered only after its record was read
 			Logger:     logger,
 			Metrics:    opts.Metrics,
 		}),
 	}
 }
 
-// run follows the shard's stream and forgets what is older than the window.
-func (s *shard) run(ctx context.Context) error {
+// run reads the shard's stream and expires claims older than Window until ctx ends.
+func (s *shardBatcher) run(ctx context.Context) error {
 	s.logger.Info("batcher begins")
 	defer s.logger.Info("batcher ends")
 	var group errgroup.Group
 	group.Go(func() error { return s.follower.Run(ctx) })
-	group.Go(func() error { return s.expire(ctx) })
+	group.Go(func() error { return s.runExpiry(ctx) })
 	return group.Wait()
 }
 
-// ready returns the shard's state once it holds every claim that counts.
-func (s *shard) ready(ctx context.Context) (*state, error) {
+// waitReady returns the shard's state once it contains all unexpired claims. It
+// returns a *NotReadyError when ctx ends first.
+func (s *shardBatcher) waitReady(ctx context.Context) (*shardState, error) {
 	for {
 		changed := s.follower.Changed()
 		if view := s.follower.View(); view != nil && s.follower.Status().CaughtUp && view.complete() {
@@ -160,45 +167,46 @@
 	}
 }
 
-// mark is how far the stream was read at a time.
-type mark struct {
+// readMark is the offset up to which the stream was read at a time.
+type readMark struct {
 	at     time.Time
 	offset infra.Offset
 }
 
-// expire writes what may be forgotten: at once what aged out of the log before
-// this batcher began, since the log keeps records for longer than the window;
-// later what it read itself a whole window ago.
-func (s *shard) expire(ctx context.Context) error {
-	var marks []mark
-	ticker := time.NewTicker(expiryEvery)
+// runExpiry appends expiry records until ctx ends. Records that aged out of the log
+// before this batcher started are expired immediately, because the log retains
+// records for longer than Window. Later, records expire once Window has passed
+// since this batcher read them.
+func (s *shardBatcher) runExpiry(ctx context.Context) error {
+	var marks []readMark
+	ticker := time.NewTicker(expiryInterval)
 	defer ticker.Stop()
 	for ctx.Err() == nil {
 		changed := s.follower.Changed()
 		view := s.follower.View()
 		if view != nil && s.follower.Status().CaughtUp && !view.complete() {
-			s.forget(ctx, view.from)
-			changed = nil // the next look is at the next tick, should the write have failed
+			s.appendExpiry(ctx, view.start)
+			changed = nil // if the append failed, retry at the next tick
 		}
 		select {
 		case <-changed:
 			continue
 		case now := <-ticker.C:
-			marks = s.forgetOld(ctx, marks, now)
+			marks = s.expireOld(ctx, marks, now)
 		case <-ctx.Done():
 		}
 	}
 	return nil
 }
 
-// forgetOld notes how far the stream was read and forgets what was read before
-// the window.
-func (s *shard) forgetOld(ctx context.Context, marks []mark, now time.Time) []mark {
+// expireOld adds a mark for the offset read so far and expires the records that
+// were read at least Window ago. It returns the marks still needed.
+func (s *shardBatcher) expireOld(ctx context.Context, marks []readMark, now time.Time) []readMark {
 	view := s.follower.View()
 	if view == nil {
 		return marks
 	}
-	marks = append(marks, mark{at: now, offset: view.Offset()})
+	marks = append(marks, readMark{at: now, offset: view.Offset()})
 	passed := 0
 	for passed < len(marks) && now.Sub(marks[passed].at) >= Window {
 		passed++
@@ -206,17 +214,18 @@
 	if passed == 0 {
 		return marks
 	}
-	if view.remembered() > 0 {
-		s.forget(ctx, marks[passed-1].offset+1)
+	if view.claimCount() > 0 {
+		s.appendExpiry(ctx, marks[passed-1].offset+1)
 	}
 	return marks[passed:]
 }
 
-func (s *shard) forget(ctx context.Context, before infra.Offset) {
-	ctx, cancel := context.WithTimeout(ctx, expiryEvery/2)
+// appendExpiry appends a record that expires all claims below offset before.
+func (s *shardBatcher) appendExpiry(ctx context.Context, before infra.Offset) {
+	ctx, cancel := context.WithTimeout(ctx, expiryInterval/2)
 	defer cancel()
 	r := &record.Record{Body: &record.Record_ClaimExpiry{ClaimExpiry: &record.ClaimExpiry{Before: uint64(before)}}}
 	if _, err := s.writer.Append(ctx, Stream(s.id), r); err != nil {
-		s.logger.WithField("error", err).Warn("claims not forgotten")
+		s.logger.WithField("error", err).Warn("claim expiry not appended")
 	}
 }
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -61,7 +61,7 @@
 		return
 	}
 	last := c.current.Load()
-	if last != nil && last.changed == uint64(view.Changed) {
+	if last != nil && last.changed == uint64(view.LastChange) {
 		return
 	}
 	built, provenance, refusal := c.builder.InForce(logsync.Files(view))
@@ -73,9 +73,9 @@
 	if built == nil {
 		return
 	}
-	c.current.Store(&inForce{config: built, provenance: provenance, changed: uint64(view.Changed)})
+	c.current.Store(&inForce{config: built, provenance: provenance, changed: uint64(view.LastChange)})
 	c.log.WithFields(logrus.Fields{
-		"offset":   view.Changed,
+		"offset":   view.LastChange,
 		"files":    len(view.Files),
 		"models":   len(built.Models),
 		"adapters": len(built.Adapters),
--- a/replay/assignment.go
+++ b/replay/assignment.go
@@ -8,47 +8,51 @@
 	"greengageferry/record"
 )
 
-// assign replaces what a server may hold, if everything fits: the new items,
-// and what was dropped, now or earlier, and isn't confirmed gone.
-func (c *Control) assign(offset infra.Offset, r *record.Assignment) verdict {
-	if !c.inEffect(r.GetLease()) || r.GetServer() == "" {
-		return void
+// assign replaces the items that a server may hold. The assignment takes effect
+// only if the new items fit into memory together with all lingering items:
+// those unassigned now or earlier whose removal isn't confirmed. An assignment
+// without items and memory deletes the server.
+func (c *Control) assign(offset infra.Offset, r *record.Assignment) applyResult {
+	if !c.isCurrentLease(r.GetLease()) || r.GetServer() == "" {
+		return noEffect
 	}
 	if r.GetMemoryMib() == 0 && len(r.GetItems()) == 0 {
-		return c.forget(r.GetServer())
+		return c.deleteServer(r.GetServer())
 	}
 	old := c.servers[r.GetServer()]
 	if old == nil {
 		old = &Server{}
 	}
-	next, ok := reassigned(old, offset, r)
+	next, ok := applyAssignment(old, offset, r)
 	if !ok {
-		return void
+		return noEffect
 	}
-	c.put(next)
+	c.putServer(next)
 	return applied
 }
 
-// forget drops a server that is gone for good.
-func (c *Control) forget(server string) verdict {
+// deleteServer deletes the state of a server that is permanently gone.
+func (c *Control) deleteServer(server string) applyResult {
 	if c.servers[server] == nil {
-		return void
+		return noEffect
 	}
 	delete(c.servers, server)
-	c.stale.servers = true
+	c.staleMaps.servers = true
 	return applied
 }
 
-func (c *Control) put(s *Server) {
+// putServer stores the server's new state.
+func (c *Control) putServer(s *Server) {
 	c.servers[s.ID] = s
-	c.stale.servers = true
+	c.staleMaps.servers = true
 }
 
-// reassigned returns the server under its new assignment, or false where that
-// is malformed or doesn't fit. An item that may be there already keeps the
-// larger of its sizes, and one that lingers and is assigned again counts once.
-func reassigned(old *Server, offset infra.Offset, r *record.Assignment) (*Server, bool) {
-	held := sizes(old.Assigned, old.Lingering)
+// applyAssignment returns the server with its new assignment, or false if the
+// assignment is malformed or doesn't fit into memory. An item that may already
+// be loaded counts with the larger of its old and new sizes. A lingering item
+// that is assigned again counts once.
+func applyAssignment(old *Server, offset infra.Offset, r *record.Assignment) (*Server, bool) {
+	held := sizesByKey(old.Assigned, old.Lingering)
 	next := &Server{
 		ID:         r.GetServer(),
 		Pool:       r.GetPool(),
@@ -72,12 +76,13 @@
 		}
 	}
 	sortItems(next.Assigned)
-	next.Ready = keep(next.Assigned, keys(old.Ready))
+	next.Ready = withKeys(next.Assigned, keySet(old.Ready))
 	sortItems(next.Lingering)
 	return next, Fits(next.MemoryMiB, next.Assigned, next.Lingering)
 }
 
-// Fits says whether the items fit into the memory together.
+// Fits reports whether all items together fit into memoryMiB. It returns false
+// if an item has a negative size.
 func Fits(memoryMiB int64, items ...[]infra.Item) bool {
 	free := memoryMiB
 	for _, i := range slices.Concat(items...) {
@@ -89,35 +94,39 @@
 	return true
 }
 
-// remove confirms that dropped items are gone for good.
-func (c *Control) remove(r *record.Removal) verdict {
+// confirmRemoval releases the memory of lingering items that are confirmed to be
+// unloaded for good.
+func (c *Control) confirmRemoval(r *record.Removal) applyResult {
 	old := c.servers[r.GetServer()]
-	if !c.inEffect(r.GetLease()) || old == nil || old.Assignment != infra.Offset(r.GetAssignment()) {
-		return void
+	if !c.isCurrentLease(r.GetLease()) || old == nil || old.Assignment != infra.Offset(r.GetAssignment()) {
+		return noEffect
 	}
 	next := *old
-	next.Lingering = drop(old.Lingering, keys(items(r.GetItems())))
+	next.Lingering = withoutKeys(old.Lingering, keySet(itemsFromRecords(r.GetItems())))
 	if len(next.Lingering) == len(old.Lingering) {
-		return void
+		return noEffect
 	}
-	c.put(&next)
+	c.putServer(&next)
 	return applied
 }
 
-// ready replaces what a server is known to serve.
-func (c *Control) ready(r *record.Readiness) verdict {
+// updateReady replaces the items that a server is known to serve. Items that
+// aren't assigned are left out.
+func (c *Control) updateReady(r *record.Readiness) applyResult {
 	old := c.servers[r.GetServer()]
-	if !c.inEffect(r.GetLease()) || old == nil {
-		return void
+	if !c.isCurrentLease(r.GetLease()) || old == nil {
+		return noEffect
 	}
 	next := *old
 	next.Boot = r.GetBoot()
-	next.Ready = keep(old.Assigned, keys(items(r.GetItems())))
-	c.put(&next)
+	next.Ready = withKeys(old.Assigned, keySet(itemsFromRecords(r.GetItems())))
+	c.putServer(&next)
 	return applied
 }
 
-func sizes(items ...[]infra.Item) map[infra.Key]int64 {
+// sizesByKey returns the sizes of the items in MiB. Of items with the same key
+// the last one counts.
+func sizesByKey(items ...[]infra.Item) map[infra.Key]int64 {
 	out := map[infra.Key]int64{}
 	for _, i := range slices.Concat(items...) {
 		out[i.Key()] = i.MiB
@@ -125,7 +134,7 @@
 	return out
 }
 
-func keys(items []infra.Item) map[infra.Key]bool {
+func keySet(items []infra.Item) map[infra.Key]bool {
 	out := map[infra.Key]bool{}
 	for _, i := range items {
 		out[i.Key()] = true
@@ -133,7 +142,8 @@
 	return out
 }
 
-func keep(items []infra.Item, keys map[infra.Key]bool) []infra.Item {
+// withKeys returns the items whose keys are in the set.
+func withKeys(items []infra.Item, keys map[infra.Key]bool) []infra.Item {
 	var out []infra.Item
 	for _, i := range items {
 		if keys[i.Key()] {
@@ -143,7 +153,8 @@
 	return out
 }
 
-func drop(items []infra.Item, keys map[infra.Key]bool) []infra.Item {
+// withoutKeys returns the items whose keys aren't in the set.
+func withoutKeys(items []infra.Item, keys map[infra.Key]bool) []infra.Item {
 	var out []infra.Item
 	for _, i := range items {
 		if !keys[i.Key()] {
--- a/replay/base.go
+++ b/replay/base.go
@@ -5,37 +5,39 @@
 	"greengageferry/record"
 )
 
-// Kind is the name of a record's body in record.proto, or KindUnknown.
+// Kind is the field name of a record's body in record.proto, or KindUnknown.
 type Kind string
 
-// KindUnknown is a record whose body this program doesn't know, or that bears none.
+// KindUnknown is the kind of a record without a body, or with one that this
+// program doesn't know.
 const KindUnknown Kind = "unknown"
 
-// Count says what became of the records of one kind.
+// Count counts the records of one kind by result.
 type Count struct {
-	Applied  uint64 // changed the state, or may have
-	Void     uint64 // had no effect at their place on the log
-	Repeated uint64 // were read before under the same origin and sequence
-	Foreign  uint64 // belong to another stream, or aren't known
+	Applied    uint64 // took effect; checkpoints count here too
+	NoEffect   uint64 // not allowed by the state at their offset
+	Duplicate  uint64 // already read with the same origin and sequence
+	Unexpected uint64 // of a kind that belongs to another stream or is unknown
 }
 
-// base is what all machines share: the offset, the repeats and the counters.
-type base struct {
-	offset  infra.Offset
-	origins origins
-	counts  map[Kind]Count
+// machineBase is the part that all machines share: the offset, the detection of
+// duplicate records, and the counters.
+type machineBase struct {
+	offset infra.Offset
+	dedup  dedup
+	counts map[Kind]Count
 }
 
-func newBase() base {
-	return base{origins: origins{}, counts: map[Kind]Count{}}
+func newMachineBase() machineBase {
+	return machineBase{dedup: dedup{}, counts: map[Kind]Count{}}
 }
 
-// Offset returns the offset last applied.
-func (b *base) Offset() infra.Offset { return b.offset }
+// Offset returns the offset of the record last applied.
+func (b *machineBase) Offset() infra.Offset { return b.offset }
 
-// Counts returns a copy of the counters by kind. They are no part of the
-// state: two readers that began at different places count differently.
-func (b *base) Counts() map[Kind]Count {
+// Counts returns a copy of the counters by kind. The counters aren't part of the
+// replicated state: readers that started at different offsets count differently.
+func (b *machineBase) Counts() map[Kind]Count {
 	out := make(map[Kind]Count, len(b.counts))
 	for k, c := range b.counts {
 		out[k] = c
@@ -43,22 +45,23 @@
 	return out
 }
 
-// begin steps past the record at offset and says whether it is to be looked at.
-func (b *base) begin(offset infra.Offset, r *record.Record) bool {
+// accept advances to offset and reports whether the record must be applied. It
+// returns false for an offset already applied and for a duplicate record.
+func (b *machineBase) accept(offset infra.Offset, r *record.Record) bool {
 	if !b.advance(offset) {
 		return false
 	}
-	if b.origins.see(offset, r.GetOrigin(), r.GetSequence()) {
+	if b.dedup.markSeen(offset, r.GetOrigin(), r.GetSequence()) {
 		return true
 	}
-	c := b.counts[kindOf(r)]
-	c.Repeated++
-	b.counts[kindOf(r)] = c
+	c := b.counts[recordKind(r)]
+	c.Duplicate++
+	b.counts[recordKind(r)] = c
 	return false
 }
 
-// advance steps to the offset and says whether it is a new one.
-func (b *base) advance(offset infra.Offset) bool {
+// advance moves on to offset. It returns false if offset was already applied.
+func (b *machineBase) advance(offset infra.Offset) bool {
 	if offset <= b.offset {
 		return false
 	}
@@ -66,49 +69,51 @@
 	return true
 }
 
-// verdict is what a machine made of one record.
-type verdict int
+// applyResult is the result of applying one record.
+type applyResult int
 
 const (
-	applied verdict = iota
-	void
-	foreign
+	applied applyResult = iota
+	noEffect
+	unexpected
 )
 
-func (b *base) count(r *record.Record, v verdict) {
-	kind := kindOf(r)
+// countRecord counts the result of applying the record.
+func (b *machineBase) countRecord(r *record.Record, v applyResult) {
+	kind := recordKind(r)
 	c := b.counts[kind]
 	switch v {
 	case applied:
 		c.Applied++
-	case void:
-		c.Void++
-	case foreign:
-		c.Foreign++
+	case noEffect:
+		c.NoEffect++
+	case unexpected:
+		c.Unexpected++
 	}
 	b.counts[kind] = c
 }
 
-// restore takes over what a checkpoint says of the offset and the origins.
-func (b *base) restore(c *record.Checkpoint) {
+// restore sets the offset and the duplicate detection from a checkpoint.
+func (b *machineBase) restore(c *record.Checkpoint) {
 	b.offset = infra.Offset(c.GetCovers())
-	b.origins.restore(c.GetOrigins())
+	b.dedup.restore(c.GetOrigins())
 }
 
-// checkpoint returns a checkpoint that lacks only its state.
-func (b *base) checkpoint() *record.Checkpoint {
+// newCheckpoint returns a checkpoint with all fields but State set.
+func (b *machineBase) newCheckpoint() *record.Checkpoint {
 	return &record.Checkpoint{
 		Covers:  uint64(b.offset),
 		Version: CheckpointVersion,
-		Origins: b.origins.marks(b.offset),
+		Origins: b.dedup.marks(b.offset),
 	}
 }
 
-// admissible says whether the checkpoint may replace a state at the offset.
-func (b *base) admissible(c *record.Checkpoint, stateKnown bool) error {
+// checkRestore returns an error if the checkpoint may not replace the current
+// state. stateKnown says whether the checkpoint has this machine's kind of state.
+func (b *machineBase) checkRestore(c *record.Checkpoint, stateKnown bool) error {
 	switch {
 	case !stateKnown || c.GetVersion() > CheckpointVersion:
-		return &CheckpointKindError{Version: c.GetVersion()}
+		return &UnsupportedCheckpointError{Version: c.GetVersion()}
 	case infra.Offset(c.GetCovers()) < b.offset:
 		return &StaleCheckpointError{Covers: infra.Offset(c.GetCovers()), Offset: b.offset}
 	}
@@ -117,7 +122,8 @@
 
 var bodyOneof = (&record.Record{}).ProtoReflect().Descriptor().Oneofs().ByName("body")
 
-func kindOf(r *record.Record) Kind {
+// recordKind returns the kind of the record.
+func recordKind(r *record.Record) Kind {
 	if r == nil {
 		return KindUnknown
 	}
--- a/replay/bench_test.go
+++ b/replay/bench_test.go
@@ -11,18 +11,18 @@
 	"greengageferry/record"
 )
 
-// The sizes of two years on: 1,900 servers in nine failure domains, 870 models
-// with their adapters, 2,700 configuration changes a day, and a log that keeps
-// a day.
+// The benchmarks use the expected scale in two years: 1,900 servers in nine
+// failure domains, 870 models with their adapters, 2,700 configuration changes a
+// day, and a log that retains one day.
 const (
 	itemsPerServer   = 20
-	renewalsPerDay   = 24 * 3600 * 3 / 8 // one in a third of an 8 s lease
-	changesPerServer = 20                // assignments a day; each with a removal and two readinesses
-	fileBytes        = 2000
+	renewalsPerDay   = 24 * 3600 * 3 / 8 // one renewal every third of an 8 s lease
+	changesPerServer = 20                // assignments a day; each is followed by a removal and two readiness records
+	fileBytes        = 2000              // size of a configuration file
 )
 
-// encode returns the records as the log keeps them.
-func encode(b *testing.B, records []*record.Record) [][]byte {
+// encodeRecords returns the records in their encoding on the log.
+func encodeRecords(b *testing.B, records []*record.Record) [][]byte {
 	sequence := uint64(0)
 	out := make([][]byte, len(records))
 	for i, r := range records {
@@ -37,6 +37,7 @@
 	return out
 }
 
+// replayAll decodes the records and applies them to the machine.
 func replayAll(b *testing.B, m Machine, data [][]byte) {
 	for i, d := range data {
 		r := &record.Record{}
@@ -47,10 +48,10 @@
 	}
 }
 
-// benchReplay measures decoding and applying the records, and reports what the
-// state then takes in memory and as a checkpoint.
+// benchReplay measures the time to decode and apply the records. It reports the
+// size of the resulting state in memory and as a checkpoint.
 func benchReplay(b *testing.B, make func() Machine, records []*record.Record) {
-	data := encode(b, records)
+	data := encodeRecords(b, records)
 	var m Machine
 	for b.Loop() {
 		m = make()
@@ -60,16 +61,17 @@
 	b.ReportMetric(float64(len(data)), "records")
 	b.ReportMetric(float64(proto.Size(m.Checkpoint())), "checkpoint-B")
 	m = nil
-	before := heap()
+	before := heapBytes()
 	m = make()
 	replayAll(b, m, data)
-	b.ReportMetric(float64(heap()-before), "state-B")
+	b.ReportMetric(float64(heapBytes()-before), "state-B")
 	runtime.KeepAlive(m)
 	runtime.KeepAlive(data)
 	runtime.KeepAlive(records)
 }
 
-func heap() int64 {
+// heapBytes returns the size of the live heap in bytes.
+func heapBytes() int64 {
 	runtime.GC()
 	runtime.GC()
 	var s runtime.MemStats
@@ -77,6 +79,7 @@
 	return int64(s.HeapAlloc)
 }
 
+// serverItems returns the items assigned to a server in one round of changes.
 func serverItems(server, round int) []infra.Item {
 	var out []infra.Item
 	for i := range itemsPerServer {
@@ -86,9 +89,9 @@
 	return out
 }
 
-// controlDay is a day of a control stream with that many servers.
+// controlDay returns one day of records of a control stream with that many servers.
 func controlDay(servers int) []*record.Record {
-	out := []*record.Record{claimLease("entry-17", 0, 0)}
+	out := []*record.Record{leaseClaim("entry-17", 0, 0)}
 	perRenewal := max(1, renewalsPerDay/(servers*changesPerServer))
 	for round := range changesPerServer {
 		for s := range servers {
@@ -98,7 +101,7 @@
 			gone := serverItems(s, round-1)
 			out = append(out, removal(1, id, at, gone...), readiness(1, id, "boot", items[1:]...), readiness(1, id, "boot", items...))
 			for range perRenewal {
-				out = append(out, renewal(1))
+				out = append(out, leaseRenewal(1))
 			}
 		}
 	}
@@ -113,13 +116,14 @@
 	}
 }
 
-// configDay is a day of the config stream, over 400 files.
+// configDay returns one day of records of the config stream, with that many changes
+// to 400 files.
 func configDay(changes int) []*record.Record {
 	var out []*record.Record
 	content := string(make([]byte, fileBytes))
 	for i := range changes {
-		out = append(out, change(fmt.Sprintf("%03d-models.toml", i%400), content, 0))
-		out = append(out, judged(uint64(len(out)), true))
+		out = append(out, configChange(fmt.Sprintf("%03d-models.toml", i%400), content, 0))
+		out = append(out, configVerdict(uint64(len(out)), true))
 	}
 	return out
 }
@@ -132,13 +136,13 @@
 	}
 }
 
-// BenchmarkControlView measures what a change of one server's assignment costs
-// a follower: the record and the new view.
+// BenchmarkControlView measures the cost of one server's new assignment to a reader:
+// applying the record and building the new view.
 func BenchmarkControlView(b *testing.B) {
 	for _, servers := range []int{211, 633, 1900} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			c := NewControl()
-			c.Apply(1, claimLease("h", 0, 0))
+			c.Apply(1, leaseClaim("h", 0, 0))
 			for s := range servers {
 				c.Apply(c.Offset()+1, assignment(1, fmt.Sprint(s), 200_000, serverItems(s, 0)...))
 			}
@@ -151,12 +155,12 @@
 	}
 }
 
-// BenchmarkRestoreControl measures a start from a checkpoint.
+// BenchmarkRestoreControl measures restoring the state from an encoded checkpoint.
 func BenchmarkRestoreControl(b *testing.B) {
 	for _, servers := range []int{211, 633, 1900} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			c := NewControl()
-			c.Apply(1, claimLease("h", 0, 0))
+			c.Apply(1, leaseClaim("h", 0, 0))
 			for s := range servers {
 				c.Apply(c.Offset()+1, assignment(1, fmt.Sprint(s), 200_000, serverItems(s, 0)...))
 			}
--- a/replay/claims.go
+++ b/replay/claims.go
@@ -7,11 +7,11 @@
 	"greengageferry/record"
 )
 
-// ClaimKey is the SHA-256 of partner, caller and idempotency key.
+// ClaimKey is the SHA-256 hash of partner, caller and idempotency key.
 type ClaimKey [32]byte
 
-// Claimed is the claim that stands on a key.
-type Claimed struct {
+// KeyClaim is one claim on a key.
+type KeyClaim struct {
 	Offset      infra.Offset
 	Fingerprint Fingerprint
 	Instance    string
@@ -20,41 +20,46 @@
 	Outcome     record.ClaimResult_Outcome
 }
 
-// Claims is the machine of one shard of claims. Of the claims on a key that are
-// neither expired nor freed, the first stands; a claim may run only if it
-// stands. A claim is freed when its own attempt says that it did not run, and
-// expires by a ClaimExpiry on the log, not by the reader's own clock: a reader
-// that forgot a claim earlier than another would let a second one stand that
-// the other had found void, and each could then let another third one run.
+// Claims is the state machine of one shard of claims. Of the claims on a key that
+// are neither expired nor released, the oldest holds the key, and only its
+// request may run. A NOT_RUN result of the claim's own attempt releases it.
 //
-// What stands is a function of the records since the expiry alone, so that a
-// reader which began in the middle of the stream agrees with the others as soon
-// as it is Complete. The price: a claim that lost against another one stands
-// once that one is freed or expires, though it never ran. So its claimant says
-// that it did not run, and a key that is seen to be taken isn't claimed at all.
+// Claims expire by ClaimExpiry records on the log, not by the reader's clock. If
+// one reader expired a claim earlier than another, the two would disagree on
+// which later claim holds the key, and each could let a different request run.
 //
-// Repeats aren't dropped, since a reader that began later would not know them: a
-// claim that is read twice is kept twice, and its attempt's word frees both.
+// The holder of a key depends only on the records since the last expiry, so a
+// reader that starts in the middle of the stream agrees with the others as soon
+// as it is Complete. As a consequence, a claim that lost holds the key once the
+// earlier one is released or expires, although its request never ran. A losing
+// claimant therefore appends a NOT_RUN result, and a key that is known to be
+// held isn't claimed at all.
 //
-// The machine remembers at most what the shard's stream holds within a window;
-// Len lets the writer of claims refuse new ones before that is too much.
+// Duplicate records aren't dropped, because a reader that started later can't
+// recognize them. A claim that is read twice is stored twice, and a NOT_RUN
+// result of its attempt releases both.
+//
+// The machine stores at most the claims that the shard's stream receives within
+// the claim window. Len lets the writer refuse new claims before there are too
+// many.
 type Claims struct {
-	base
-	claims  map[ClaimKey][]*Claimed // neither expired nor freed, oldest first
-	order   []keyAt                 // oldest first; bears claims that were freed since
-	from    infra.Offset            // where the reading began
-	expired infra.Offset            // everything before it is forgotten
+	machineBase
+	claims        map[ClaimKey][]*KeyClaim // neither expired nor released, oldest first
+	expiryQueue   []claimRef               // claims not yet expired, oldest first; includes released ones
+	start         infra.Offset             // first offset read
+	expiredBefore infra.Offset             // claims below this offset are expired
 }
 
-type keyAt struct {
+// claimRef refers to a claim in the expiry queue.
+type claimRef struct {
 	key    ClaimKey
 	offset infra.Offset
 }
 
-// NewClaims returns the machine of a shard that is read from the offset on: 0
-// or 1 is the stream's beginning.
-func NewClaims(from infra.Offset) *Claims {
-	return &Claims{base: newBase(), claims: map[ClaimKey][]*Claimed{}, from: max(from, 1), expired: 1}
+// NewClaims returns the machine of a shard whose stream is read from offset start;
+// 0 and 1 both mean the beginning of the stream.
+func NewClaims(start infra.Offset) *Claims {
+	return &Claims{machineBase: newMachineBase(), claims: map[ClaimKey][]*KeyClaim{}, start: max(start, 1), expiredBefore: 1}
 }
 
 // Apply implements Machine.
@@ -64,106 +69,111 @@
 	}
 	switch body := r.GetBody().(type) {
 	case *record.Record_Claim:
-		c.count(r, c.claim(offset, body.Claim))
+		c.countRecord(r, c.addClaim(offset, body.Claim))
 	case *record.Record_ClaimResult:
-		c.count(r, c.result(body.ClaimResult))
+		c.countRecord(r, c.recordResult(body.ClaimResult))
 	case *record.Record_ClaimExpiry:
-		c.count(r, c.expire(offset, infra.Offset(body.ClaimExpiry.GetBefore())))
+		c.countRecord(r, c.expire(offset, infra.Offset(body.ClaimExpiry.GetBefore())))
 	default:
-		c.count(r, foreign)
+		c.countRecord(r, unexpected)
 	}
 }
 
-func (c *Claims) claim(offset infra.Offset, r *record.Claim) verdict {
-	key, ok := claimKeyOf(r.GetKey())
+// addClaim adds a claim behind the earlier ones on its key.
+func (c *Claims) addClaim(offset infra.Offset, r *record.Claim) applyResult {
+	key, ok := parseClaimKey(r.GetKey())
 	if !ok || r.GetAttempt() == "" {
-		return void
+		return noEffect
 	}
-	fingerprint, _ := fingerprintOf(r.GetFingerprint())
-	claimed := &Claimed{
+	fingerprint, _ := parseFingerprint(r.GetFingerprint())
+	claim := &KeyClaim{
 		Offset:      offset,
 		Fingerprint: fingerprint,
 		Instance:    r.GetInstance(),
 		Attempt:     r.GetAttempt(),
 		Request:     r.GetRequest(),
 	}
-	c.claims[key] = append(c.claims[key], claimed)
-	c.order = append(c.order, keyAt{key: key, offset: offset})
+	c.claims[key] = append(c.claims[key], claim)
+	c.expiryQueue = append(c.expiryQueue, claimRef{key: key, offset: offset})
 	return applied
 }
 
-// result notes how an attempt ended.
-func (c *Claims) result(r *record.ClaimResult) verdict {
-	key, ok := claimKeyOf(r.GetKey())
-	own := func(o *Claimed) bool { return o.Attempt == r.GetAttempt() }
-	if !ok || !slices.ContainsFunc(c.claims[key], own) {
-		return void
+// recordResult stores the outcome of an attempt, or releases its claims if the
+// attempt did not run.
+func (c *Claims) recordResult(r *record.ClaimResult) applyResult {
+	key, ok := parseClaimKey(r.GetKey())
+	sameAttempt := func(o *KeyClaim) bool { return o.Attempt == r.GetAttempt() }
+	if !ok || !slices.ContainsFunc(c.claims[key], sameAttempt) {
+		return noEffect
 	}
 	if r.GetOutcome() == record.ClaimResult_NOT_RUN {
-		c.keep(key, slices.DeleteFunc(c.claims[key], own))
+		c.setClaims(key, slices.DeleteFunc(c.claims[key], sameAttempt))
 		return applied
 	}
-	for _, claimed := range c.claims[key] {
-		if own(claimed) {
-			claimed.Outcome = r.GetOutcome()
+	for _, claim := range c.claims[key] {
+		if sameAttempt(claim) {
+			claim.Outcome = r.GetOutcome()
 		}
 	}
 	return applied
 }
 
-// keep replaces the claims on a key.
-func (c *Claims) keep(key ClaimKey, left []*Claimed) {
+// setClaims replaces the claims on a key.
+func (c *Claims) setClaims(key ClaimKey, left []*KeyClaim) {
 	c.claims[key] = left
 	if len(left) == 0 {
 		delete(c.claims, key)
 	}
 }
 
-func (c *Claims) expire(offset, before infra.Offset) verdict {
-	if before <= c.expired || before > offset {
-		return void
+// expire removes all claims below offset before.
+func (c *Claims) expire(offset, before infra.Offset) applyResult {
+	if before <= c.expiredBefore || before > offset {
+		return noEffect
 	}
-	c.expired = before
-	done := 0
-	for done < len(c.order) && c.order[done].offset < before {
-		at := c.order[done]
-		if own := c.claims[at.key]; len(own) > 0 && own[0].Offset == at.offset {
-			c.keep(at.key, own[1:])
+	c.expiredBefore = before
+	n := 0
+	for n < len(c.expiryQueue) && c.expiryQueue[n].offset < before {
+		ref := c.expiryQueue[n]
+		if onKey := c.claims[ref.key]; len(onKey) > 0 && onKey[0].Offset == ref.offset {
+			c.setClaims(ref.key, onKey[1:])
 		}
-		done++
+		n++
 	}
-	c.order = slices.Clone(c.order[done:])
+	c.expiryQueue = slices.Clone(c.expiryQueue[n:])
 	return applied
 }
 
-// Standing returns the claim that stands on the key.
-func (c *Claims) Standing(key ClaimKey) (Claimed, bool) {
-	if own := c.claims[key]; len(own) > 0 {
-		return *own[0], true
+// Standing returns the claim that holds the key, or false if there is none.
+func (c *Claims) Standing(key ClaimKey) (KeyClaim, bool) {
+	if onKey := c.claims[key]; len(onKey) > 0 {
+		return *onKey[0], true
 	}
-	return Claimed{}, false
+	return KeyClaim{}, false
 }
 
-// Complete says whether the machine has read every claim that isn't expired. A
-// reader that isn't complete grants nothing.
-func (c *Claims) Complete() bool { return c.from <= c.expired }
+// Complete reports whether the machine has read every claim that isn't expired. A
+// reader that isn't complete must not grant claims.
+func (c *Claims) Complete() bool { return c.start <= c.expiredBefore }
 
-// Expired returns the offset before which every claim is forgotten.
-func (c *Claims) Expired() infra.Offset { return c.expired }
+// ExpiredBefore returns the offset below which all claims are expired.
+func (c *Claims) ExpiredBefore() infra.Offset { return c.expiredBefore }
 
-// Len returns the number of claims remembered, with those that were freed and
-// aren't expired yet.
-func (c *Claims) Len() int { return len(c.order) }
+// Len returns the number of claims that aren't expired, including released ones.
+func (c *Claims) Len() int { return len(c.expiryQueue) }
 
-// Checkpoint implements Machine: claims expire long before the log drops them.
+// Checkpoint implements Machine. It returns nil: claims expire long before the log
+// drops their records, so they need no checkpoints.
 func (c *Claims) Checkpoint() *record.Checkpoint { return nil }
 
-// Restore implements Machine: there are no checkpoints of claims.
+// Restore implements Machine. It always returns an error, because claims have no
+// checkpoints.
 func (c *Claims) Restore(cp *record.Checkpoint) error {
-	return c.admissible(cp, false)
+	return c.checkRestore(cp, false)
 }
 
-func claimKeyOf(b []byte) (ClaimKey, bool) {
-	f, ok := fingerprintOf(b)
+// parseClaimKey returns b as a key, or false if b has the wrong length.
+func parseClaimKey(b []byte) (ClaimKey, bool) {
+	f, ok := parseFingerprint(b)
 	return ClaimKey(f), ok
 }
--- a/replay/control.go
+++ b/replay/control.go
@@ -7,131 +7,134 @@
 	"greengageferry/record"
 )
 
-// Control is the machine of a failure domain's control stream: its placement
-// lease, the instances that may order, and each backend server's assignment.
+// Control is the state machine of a failure domain's control stream. It keeps the
+// placement lease, the orderers (the instances that may send load and unload
+// orders to backend servers), and the assignment of each backend server.
 type Control struct {
-	base
-	lease    Lease
-	orderers map[string]infra.Offset
-	servers  map[string]*Server // each is replaced, never changed
-	view     *ControlView       // handed out last
-	stale    stale              // what changed since
+	machineBase
+	lease     Lease
+	orderers  map[string]infra.Offset
+	servers   map[string]*Server // a *Server is replaced, never modified
+	lastView  *ControlView       // newest view returned by View
+	staleMaps staleMaps          // maps changed since lastView
 }
 
-// stale says which maps of the view handed out last are out of date.
-type stale struct{ orderers, servers bool }
+// staleMaps says which maps of the newest view are out of date.
+type staleMaps struct{ orderers, servers bool }
 
 // NewControl returns the machine of an empty stream.
 func NewControl() *Control {
 	return &Control{
-		base:     newBase(),
-		orderers: map[string]infra.Offset{},
-		servers:  map[string]*Server{},
-		stale:    stale{orderers: true, servers: true},
+		machineBase: newMachineBase(),
+		orderers:    map[string]infra.Offset{},
+		servers:     map[string]*Server{},
+		staleMaps:   staleMaps{orderers: true, servers: true},
 	}
 }
 
 // Apply implements Machine.
 func (c *Control) Apply(offset infra.Offset, r *record.Record) {
-	if !c.begin(offset, r) {
+	if !c.accept(offset, r) {
 		return
 	}
 	switch body := r.GetBody().(type) {
 	case *record.Record_LeaseClaim:
-		c.count(r, c.claim(offset, body.LeaseClaim))
+		c.countRecord(r, c.claimLease(offset, body.LeaseClaim))
 	case *record.Record_LeaseRenewal:
-		c.count(r, c.renew(offset, body.LeaseRenewal.GetLease()))
+		c.countRecord(r, c.renewLease(offset, body.LeaseRenewal.GetLease()))
 	case *record.Record_LeaseRelease:
-		c.count(r, c.release(offset, body.LeaseRelease.GetLease()))
+		c.countRecord(r, c.releaseLease(offset, body.LeaseRelease.GetLease()))
 	case *record.Record_OrdererJoin:
-		c.count(r, c.join(offset, body.OrdererJoin.GetInstance()))
+		c.countRecord(r, c.addOrderer(offset, body.OrdererJoin.GetInstance()))
 	case *record.Record_OrdererLeave:
-		c.count(r, c.leave(body.OrdererLeave.GetInstance()))
+		c.countRecord(r, c.removeOrderer(body.OrdererLeave.GetInstance()))
 	case *record.Record_Assignment:
-		c.count(r, c.assign(offset, body.Assignment))
+		c.countRecord(r, c.assign(offset, body.Assignment))
 	case *record.Record_Removal:
-		c.count(r, c.remove(body.Removal))
+		c.countRecord(r, c.confirmRemoval(body.Removal))
 	case *record.Record_Readiness:
-		c.count(r, c.ready(body.Readiness))
+		c.countRecord(r, c.updateReady(body.Readiness))
 	case *record.Record_Checkpoint:
-		c.count(r, applied)
+		c.countRecord(r, applied)
 	default:
-		c.count(r, foreign)
+		c.countRecord(r, unexpected)
 	}
 }
 
-// claim is a compare-and-set on the lease that the claimant saw.
-func (c *Control) claim(offset infra.Offset, r *record.LeaseClaim) verdict {
+// claimLease is a compare-and-set: the claim takes effect only if the lease is
+// still in the state that the claimant saw.
+func (c *Control) claimLease(offset infra.Offset, r *record.LeaseClaim) applyResult {
 	seen := infra.Offset(r.GetPrevious()) == c.lease.ID && infra.Offset(r.GetLastSeen()) == c.lease.Renewed
 	if !seen || r.GetHolder() == "" || r.GetDurationMs() == 0 {
-		return void
+		return noEffect
 	}
 	c.lease = Lease{ID: offset, Holder: r.GetHolder(), DurationMS: r.GetDurationMs(), Renewed: offset}
 	return applied
 }
 
-func (c *Control) renew(offset infra.Offset, lease uint64) verdict {
-	if !c.inEffect(lease) {
-		return void
+func (c *Control) renewLease(offset infra.Offset, lease uint64) applyResult {
+	if !c.isCurrentLease(lease) {
+		return noEffect
 	}
 	c.lease.Renewed = offset
 	return applied
 }
 
-func (c *Control) release(offset infra.Offset, lease uint64) verdict {
-	if !c.inEffect(lease) {
-		return void
+func (c *Control) releaseLease(offset infra.Offset, lease uint64) applyResult {
+	if !c.isCurrentLease(lease) {
+		return noEffect
 	}
 	c.lease.Renewed = offset
 	c.lease.Released = true
 	return applied
 }
 
-// inEffect says whether the lease named is the newest effective one, and not
-// given up. That its time may have run out doesn't matter to a reader: only
-// another claim on the log ends it.
-func (c *Control) inEffect(lease uint64) bool {
+// isCurrentLease reports whether lease is the current lease and isn't released. A
+// lease stays current after its duration has passed, until another claim on the
+// log replaces it, because readers don't use a clock.
+func (c *Control) isCurrentLease(lease uint64) bool {
 	return lease != 0 && infra.Offset(lease) == c.lease.ID && !c.lease.Released
 }
 
-// join keeps an orderer's first join, should it say so twice: the older the
-// join, the more it is asked.
-func (c *Control) join(offset infra.Offset, instance string) verdict {
+// addOrderer adds an instance to the orderers. A second join of the same instance
+// has no effect: the offset of the first one must stay, because the orderers
+// queried before memory is reused are those that joined before a given offset.
+func (c *Control) addOrderer(offset infra.Offset, instance string) applyResult {
 	if _, joined := c.orderers[instance]; joined || instance == "" {
-		return void
+		return noEffect
 	}
 	c.orderers[instance] = offset
-	c.stale.orderers = true
+	c.staleMaps.orderers = true
 	return applied
 }
 
-func (c *Control) leave(instance string) verdict {
+func (c *Control) removeOrderer(instance string) applyResult {
 	if _, joined := c.orderers[instance]; !joined {
-		return void
+		return noEffect
 	}
 	delete(c.orderers, instance)
-	c.stale.orderers = true
+	c.staleMaps.orderers = true
 	return applied
 }
 
-// Lease returns the lease.
+// Lease returns the current state of the placement lease.
 func (c *Control) Lease() Lease { return c.lease }
 
-// View returns the state now. A map that didn't change since the last call is
-// shared with its view, and a server that didn't change always is.
+// View returns a view of the current state. It shares with the previous view each
+// map without changes, and each *Server that didn't change.
 func (c *Control) View() *ControlView {
 	next := &ControlView{Offset: c.offset, Lease: c.lease}
-	if c.stale.orderers {
+	if c.staleMaps.orderers {
 		next.Orderers = maps.Clone(c.orderers)
 	} else {
-		next.Orderers = c.view.Orderers
+		next.Orderers = c.lastView.Orderers
 	}
-	if c.stale.servers {
+	if c.staleMaps.servers {
 		next.Servers = maps.Clone(c.servers)
 	} else {
-		next.Servers = c.view.Servers
+		next.Servers = c.lastView.Servers
 	}
-	c.stale = stale{}
-	c.view = next
+	c.staleMaps = staleMaps{}
+	c.lastView = next
 	return next
 }
--- a/replay/control_checkpoint.go
+++ b/replay/control_checkpoint.go
@@ -23,9 +23,9 @@
 	}
 	byID := func(a, b *Server) int { return cmp.Compare(a.ID, b.ID) }
 	for _, s := range slices.SortedFunc(maps.Values(c.servers), byID) {
-		state.Servers = append(state.Servers, serverState(s))
+		state.Servers = append(state.Servers, serverRecord(s))
 	}
-	out := c.checkpoint()
+	out := c.newCheckpoint()
 	out.State = &record.Checkpoint_Control{Control: state}
 	return out
 }
@@ -33,7 +33,7 @@
 // Restore implements Machine.
 func (c *Control) Restore(cp *record.Checkpoint) error {
 	state := cp.GetControl()
-	if err := c.admissible(cp, state != nil); err != nil {
+	if err := c.checkRestore(cp, state != nil); err != nil {
 		return err
 	}
 	c.restore(cp)
@@ -50,13 +50,13 @@
 	}
 	c.servers = make(map[string]*Server, len(state.GetServers()))
 	for _, s := range state.GetServers() {
-		c.servers[s.GetServer()] = serverOf(s)
+		c.servers[s.GetServer()] = serverFromRecord(s)
 	}
-	c.stale = stale{orderers: true, servers: true}
+	c.staleMaps = staleMaps{orderers: true, servers: true}
 	return nil
 }
 
-func serverState(s *Server) *record.ServerState {
+func serverRecord(s *Server) *record.ServerState {
 	return &record.ServerState{
 		Server:     s.ID,
 		Pool:       s.Pool,
@@ -69,20 +69,20 @@
 	}
 }
 
-func serverOf(s *record.ServerState) *Server {
+func serverFromRecord(s *record.ServerState) *Server {
 	return &Server{
 		ID:         s.GetServer(),
 		Pool:       s.GetPool(),
 		MemoryMiB:  s.GetMemoryMib(),
 		Assignment: infra.Offset(s.GetAssignment()),
-		Assigned:   items(s.GetAssigned()),
-		Lingering:  items(s.GetLingering()),
-		Ready:      items(s.GetReady()),
+		Assigned:   itemsFromRecords(s.GetAssigned()),
+		Lingering:  itemsFromRecords(s.GetLingering()),
+		Ready:      itemsFromRecords(s.GetReady()),
 		Boot:       s.GetBoot(),
 	}
 }
 
-// ItemRecords converts items to what a record bears.
+// ItemRecords converts items to their form in records.
 func ItemRecords(items []infra.Item) []*record.Item {
 	var out []*record.Item
 	for _, i := range items {
@@ -91,7 +91,7 @@
 	return out
 }
 
-func items(records []*record.Item) []infra.Item {
+func itemsFromRecords(records []*record.Item) []infra.Item {
 	var out []infra.Item
 	for _, i := range records {
 		out = append(out, Item(i))
--- a/replay/origins.go
+++ b/replay/origins.go
@@ -8,69 +8,73 @@
 	"greengageferry/record"
 )
 
-// OriginDistance is how many offsets after its newest record an origin is
-// remembered. A repeat comes from a writer that lost an answer, so it follows
-// within seconds: at a whole stream's few hundred records a second at most,
-// 4,096 records are well over ten. It bounds the memory too: a stream can't
-// have more origins than that within the distance.
-const OriginDistance = 4096
+// DedupWindow is the number of offsets after its newest record for which an
+// origin is remembered. A duplicate comes from a writer that lost the answer to
+// an append, so it follows within seconds. A stream has at most a few hundred
+// records a second, so 4096 records span well over ten seconds. The window also
+// bounds memory: it can't contain more origins than records.
+const DedupWindow = 4096
 
+// originMark is the high-water mark of one origin.
 type originMark struct {
-	sequence uint64
-	last     infra.Offset
+	sequence   uint64       // highest sequence read
+	lastOffset infra.Offset // offset of the newest record, duplicates included
 }
 
-// origins finds repeated records: a writer's sequences grow without gaps in a
-// stream, so one high-water mark for each origin is enough. Whether an origin
-// is still remembered depends on offsets alone, never on when it was swept.
-type origins map[string]originMark
+// dedup detects duplicate records by origin. The sequences of one writer in a
+// stream ascend without gaps, so one high-water mark for each origin is enough.
+// Whether an origin is still remembered depends only on offsets, not on when
+// sweep ran.
+type dedup map[string]originMark
 
-// see notes a record and says whether it is new. A record without an id always is.
-func (o origins) see(offset infra.Offset, origin string, sequence uint64) bool {
+// markSeen updates the origin's mark and reports whether the record is new. A
+// record without an origin or sequence is always new.
+func (o dedup) markSeen(offset infra.Offset, origin string, sequence uint64) bool {
 	if origin == "" || sequence == 0 {
 		return true
 	}
 	mark, known := o[origin]
-	if known && mark.live(offset) && sequence <= mark.sequence {
-		mark.last = offset
+	if known && mark.retained(offset) && sequence <= mark.sequence {
+		mark.lastOffset = offset
 		o[origin] = mark
 		return false
 	}
-	o[origin] = originMark{sequence: sequence, last: offset}
-	if offset%OriginDistance == 0 {
+	o[origin] = originMark{sequence: sequence, lastOffset: offset}
+	if offset%DedupWindow == 0 {
 		o.sweep(offset)
 	}
 	return true
 }
 
-func (m originMark) live(offset infra.Offset) bool {
-	return offset-m.last < OriginDistance
+// retained reports whether the origin is still remembered at offset.
+func (m originMark) retained(offset infra.Offset) bool {
+	return offset-m.lastOffset < DedupWindow
 }
 
-// sweep frees the memory of origins that are no longer live.
-func (o origins) sweep(offset infra.Offset) {
+// sweep deletes the marks of origins that are no longer remembered.
+func (o dedup) sweep(offset infra.Offset) {
 	for origin, mark := range o {
-		if !mark.live(offset) {
+		if !mark.retained(offset) {
 			delete(o, origin)
 		}
 	}
 }
 
-// marks returns the live origins, sorted.
-func (o origins) marks(offset infra.Offset) []*record.OriginMark {
+// marks returns the marks of the remembered origins, sorted by origin.
+func (o dedup) marks(offset infra.Offset) []*record.OriginMark {
 	var out []*record.OriginMark
 	for origin, mark := range o {
-		if mark.live(offset) {
-			out = append(out, &record.OriginMark{Origin: origin, Sequence: mark.sequence, Last: uint64(mark.last)})
+		if mark.retained(offset) {
+			out = append(out, &record.OriginMark{Origin: origin, Sequence: mark.sequence, Last: uint64(mark.lastOffset)})
 		}
 	}
 	slices.SortFunc(out, func(a, b *record.OriginMark) int { return cmp.Compare(a.Origin, b.Origin) })
 	return out
 }
 
-func (o origins) restore(marks []*record.OriginMark) {
+func (o dedup) restore(marks []*record.OriginMark) {
 	clear(o)
 	for _, m := range marks {
-		o[m.GetOrigin()] = originMark{sequence: m.GetSequence(), last: infra.Offset(m.GetLast())}
+		o[m.GetOrigin()] = originMark{sequence: m.GetSequence(), lastOffset: infra.Offset(m.GetLast())}
 	}
 }
--- a/replay/property_test.go
+++ b/replay/property_test.go
@@ -13,9 +13,9 @@
 	"greengageferry/record"
 )
 
-// stream draws a stream's records: bodies of the generator, by three writers,
-// some of them repeated later, and some that no machine knows.
-func stream(t *rapid.T, body func(t *rapid.T, offset uint64) *record.Record) []*record.Record {
+// drawStream draws the records of a stream with bodies from the generator. The
+// records have one of three origins or none, and some are repeated later.
+func drawStream(t *rapid.T, body func(t *rapid.T, offset uint64) *record.Record) []*record.Record {
 	n := rapid.IntRange(1, 120).Draw(t, "records")
 	sequences := map[string]uint64{}
 	var out []*record.Record
@@ -39,24 +39,26 @@
 	return rapid.Uint64Range(0, upTo).Draw(t, "offset")
 }
 
+// drawConfig draws a record of the config stream, or sometimes one of a control
+// stream, which must be ignored.
 func drawConfig(t *rapid.T, offset uint64) *record.Record {
 	file := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "file")
 	switch rapid.IntRange(0, 5).Draw(t, "kind") {
 	case 0, 1:
-		return change(file, fmt.Sprint(offset), drawOffset(t, offset))
+		return configChange(file, fmt.Sprint(offset), drawOffset(t, offset))
 	case 2:
 		return &record.Record{Body: &record.Record_ConfigChange{ConfigChange: &record.ConfigChange{File: file, Removed: true}}}
 	case 3:
-		return renewal(1)
+		return leaseRenewal(1)
 	}
-	return judged(drawOffset(t, offset), rapid.Bool().Draw(t, "accepted"))
+	return configVerdict(drawOffset(t, offset), rapid.Bool().Draw(t, "accepted"))
 }
 
 func drawItems(t *rapid.T) []infra.Item {
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c", "d"}), 0, 3, rapid.ID[string]).Draw(t, "models")
 	var out []infra.Item
 	for _, name := range names {
-		out = append(out, model(name, rapid.Int64Range(0, 6).Draw(t, "mib")))
+		out = append(out, modelItem(name, rapid.Int64Range(0, 6).Draw(t, "mib")))
 	}
 	return out
 }
@@ -64,22 +66,22 @@
 func drawControl(t *rapid.T, offset uint64) *record.Record {
 	lease := rapid.SampledFrom([]uint64{0, 1, 1, 1, drawOffset(t, offset)}).Draw(t, "lease")
 	server := rapid.SampledFrom([]string{"s", "t"}).Draw(t, "server")
-	who := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "instance")
+	instance := rapid.SampledFrom([]string{"x", "y"}).Draw(t, "instance")
 	switch rapid.IntRange(0, 9).Draw(t, "kind") {
 	case 0:
-		return claimLease(who, lease, drawOffset(t, offset))
+		return leaseClaim(instance, lease, drawOffset(t, offset))
 	case 1:
-		return renewal(lease)
+		return leaseRenewal(lease)
 	case 2:
-		return release(drawOffset(t, offset))
+		return leaseRelease(drawOffset(t, offset))
 	case 3:
-		return &record.Record{Body: &record.Record_OrdererJoin{OrdererJoin: &record.OrdererJoin{Instance: who}}}
+		return &record.Record{Body: &record.Record_OrdererJoin{OrdererJoin: &record.OrdererJoin{Instance: instance}}}
 	case 4:
-		return &record.Record{Body: &record.Record_OrdererLeave{OrdererLeave: &record.OrdererLeave{Instance: who}}}
+		return &record.Record{Body: &record.Record_OrdererLeave{OrdererLeave: &record.OrdererLeave{Instance: instance}}}
 	case 5:
 		return removal(lease, server, drawOffset(t, offset), drawItems(t)...)
 	case 6:
-		return readiness(lease, server, who, drawItems(t)...)
+		return readiness(lease, server, instance, drawItems(t)...)
 	}
 	return assignment(lease, server, rapid.Int64Range(0, 10).Draw(t, "memory"), drawItems(t)...)
 }
@@ -87,11 +89,12 @@
 func drawQuarantine(t *rapid.T, offset uint64) *record.Record {
 	f := rapid.ByteRange(0, 3).Draw(t, "fingerprint")
 	server := rapid.SampledFrom([]string{"s", "t", "u"}).Draw(t, "server")
-	r := crashOn(f, server, rapid.StringMatching("[0-9]").Draw(t, "boot"), instant(offset))
+	r := crashRecord(f, server, rapid.StringMatching("[0-9]").Draw(t, "boot"), unixTime(offset))
 	return r
 }
 
-// machines are those that have checkpoints.
+// machines are the state machines that have checkpoints, each with a generator of
+// its records.
 var machines = map[string]struct {
 	make func() Machine
 	draw func(t *rapid.T, offset uint64) *record.Record
@@ -101,30 +104,30 @@
 	"quarantine": {func() Machine { return NewQuarantine() }, drawQuarantine},
 }
 
-// encoded returns the whole state as bytes.
-func encoded(t require.TestingT, m Machine) string {
+// encodeState returns the encoding of the machine's whole state.
+func encodeState(t require.TestingT, m Machine) string {
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m.Checkpoint())
 	require.NoError(t, err)
 	return string(b)
 }
 
-// TestReadersAgree: a reader that starts from any checkpoint, sent over the
-// wire, and one that read everything have the same state after each record.
+// TestReadersAgree checks that a reader restored from an encoded checkpoint of any
+// offset has the same state after each record as one that read the whole stream.
 func TestReadersAgree(t *testing.T) {
 	for name, m := range machines {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				records := stream(t, m.draw)
+				records := drawStream(t, m.draw)
 				from := rapid.IntRange(0, len(records)).Draw(t, "checkpoint")
 				whole, restarted := m.make(), m.make()
 				for i, r := range records {
 					if i == from {
-						restart(t, whole, restarted)
+						restoreFrom(t, whole, restarted)
 					}
 					whole.Apply(infra.Offset(i+1), r)
 					if i >= from {
 						restarted.Apply(infra.Offset(i+1), r)
-						require.Equal(t, encoded(t, whole), encoded(t, restarted), "after %d", i+1)
+						require.Equal(t, encodeState(t, whole), encodeState(t, restarted), "after %d", i+1)
 					}
 				}
 			})
@@ -132,40 +135,42 @@
 	}
 }
 
-func restart(t *rapid.T, from, to Machine) {
+// restoreFrom restores one machine from the encoded checkpoint of the other.
+func restoreFrom(t *rapid.T, from, to Machine) {
 	c := &record.Checkpoint{}
-	require.NoError(t, proto.Unmarshal([]byte(encoded(t, from)), c))
+	require.NoError(t, proto.Unmarshal([]byte(encodeState(t, from)), c))
 	require.NoError(t, to.Restore(c))
 	require.Equal(t, from.Offset(), to.Offset())
 }
 
-// TestApplyingAgainChangesNothing: records that are read twice are ignored.
-func TestApplyingAgainChangesNothing(t *testing.T) {
+// TestReapplyingRecordsChangesNothing checks that records at offsets already applied
+// are ignored.
+func TestReapplyingRecordsChangesNothing(t *testing.T) {
 	for name, m := range machines {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				records := stream(t, m.draw)
+				records := drawStream(t, m.draw)
 				reader := m.make()
 				for i, r := range records {
 					reader.Apply(infra.Offset(i+1), r)
 				}
-				before := encoded(t, reader)
+				before := encodeState(t, reader)
 				for i, r := range records {
 					reader.Apply(infra.Offset(i+1), r)
 				}
-				require.Equal(t, before, encoded(t, reader))
+				require.Equal(t, before, encodeState(t, reader))
 			})
 		})
 	}
 }
 
-// TestAcceptedVersionNeverReverts: a file in force changes only by a verdict
-// that accepts, and only to the content of a later change than before.
+// TestAcceptedVersionNeverReverts checks that a file in force changes only by an
+// accepting verdict, and only to the content of a later change.
 func TestAcceptedVersionNeverReverts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewConfig()
 		before := map[string]*File{}
-		for i, r := range stream(t, drawConfig) {
+		for i, r := range drawStream(t, drawConfig) {
 			c.Apply(infra.Offset(i+1), r)
 			for _, f := range c.Files() {
 				old := before[f.Name]
@@ -179,17 +184,17 @@
 				}
 				before[f.Name] = f
 			}
-			require.Len(t, c.Files(), len(before), "no file is lost")
+			require.Len(t, c.Files(), len(before), "no file disappears")
 		}
 	})
 }
 
-// TestAssignmentsNeverOvercommit: what a server may hold by the log fits its
-// memory after every record.
+// TestAssignmentsNeverOvercommit checks that a server's assigned and lingering items
+// fit its memory after every record.
 func TestAssignmentsNeverOvercommit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewControl()
-		for i, r := range stream(t, drawControl) {
+		for i, r := range drawStream(t, drawControl) {
 			c.Apply(infra.Offset(i+1), r)
 			for _, s := range c.View().Servers {
 				require.True(t, Fits(s.MemoryMiB, s.Assigned, s.Lingering), "%+v", s)
@@ -205,11 +210,12 @@
 	})
 }
 
-// TestOneLeaseAtATime: an effective claim names the state before it.
+// TestOneLeaseAtATime checks that a claim that takes effect names the state of the
+// lease right before it.
 func TestOneLeaseAtATime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		c := NewControl()
-		for i, r := range stream(t, drawControl) {
+		for i, r := range drawStream(t, drawControl) {
 			before := c.Lease()
 			c.Apply(infra.Offset(i+1), r)
 			if after := c.Lease(); after.ID != before.ID {
@@ -225,32 +231,32 @@
 	attempt := fmt.Sprint(rapid.Uint64Range(1, offset).Draw(t, "attempt"))
 	switch rapid.IntRange(0, 6).Draw(t, "kind") {
 	case 0:
-		return expiry(drawOffset(t, offset))
+		return claimExpiry(drawOffset(t, offset))
 	case 1, 2:
-		return resultOf(key, attempt, rapid.SampledFrom([]record.ClaimResult_Outcome{record.ClaimResult_NOT_RUN, record.ClaimResult_COMPLETE}).Draw(t, "outcome"))
+		return claimResult(key, attempt, rapid.SampledFrom([]record.ClaimResult_Outcome{record.ClaimResult_NOT_RUN, record.ClaimResult_COMPLETE}).Draw(t, "outcome"))
 	}
-	return claimOf(key, fmt.Sprint(offset))
+	return claimRecord(key, fmt.Sprint(offset))
 }
 
-// TestNoTwoClaimsRunWithinAWindow: of the claims that a reader grants on a key
-// as it reads them, a later one comes only after the earlier was expired, or
-// said that it did not run.
-func TestNoTwoClaimsRunWithinAWindow(t *testing.T) {
+// TestAtMostOneClaimRunsWithinWindow checks that a reader grants a claim on a key
+// only after the claim granted before has expired or reported that its request
+// did not run.
+func TestAtMostOneClaimRunsWithinWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := stream(t, drawClaims)
+		records := drawStream(t, drawClaims)
 		c := NewClaims(1)
-		running := map[ClaimKey]Claimed{}
+		running := map[ClaimKey]KeyClaim{}
 		for i, r := range records {
 			c.Apply(infra.Offset(i+1), r)
 			for key, granted := range running {
-				said := r.GetClaimResult()
-				if granted.Offset < c.Expired() || said.GetAttempt() == granted.Attempt && said.GetOutcome() == record.ClaimResult_NOT_RUN {
+				result := r.GetClaimResult()
+				if granted.Offset < c.ExpiredBefore() || result.GetAttempt() == granted.Attempt && result.GetOutcome() == record.ClaimResult_NOT_RUN {
 					delete(running, key)
 				}
 			}
-			key, _ := claimKeyOf(r.GetClaim().GetKey())
-			s, stands := c.Standing(key)
-			if r.GetClaim() == nil || !stands || s.Offset != infra.Offset(i+1) {
+			key, _ := parseClaimKey(r.GetClaim().GetKey())
+			s, found := c.Standing(key)
+			if r.GetClaim() == nil || !found || s.Offset != infra.Offset(i+1) {
 				continue
 			}
 			require.NotContains(t, running, key)
@@ -259,11 +265,11 @@
 	})
 }
 
-// TestClaimReadersAgreeOnceComplete: a reader that began anywhere grants what
-// one that read everything grants, as soon as it says that it is complete.
+// TestClaimReadersAgreeOnceComplete checks that a reader that started at any offset
+// grants the same claims as one that read the whole stream, once it is complete.
 func TestClaimReadersAgreeOnceComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		records := stream(t, drawClaims)
+		records := drawStream(t, drawClaims)
 		from := rapid.IntRange(0, len(records)-1).Draw(t, "from")
 		whole, late := NewClaims(1), NewClaims(infra.Offset(from+1))
 		for i, r := range records {
--- a/replay/quarantine.go
+++ b/replay/quarantine.go
@@ -11,45 +11,46 @@
 )
 
 const (
-	// MaxSuspects bounds the fingerprints remembered; the one whose newest
-	// crash is oldest goes first. A crash costs a server, so thousands at a
-	// time mean that the crashes come from elsewhere.
+	// MaxSuspects is the maximum number of fingerprints remembered; the one
+	// whose newest crash is oldest is evicted first. Each crash costs a server,
+	// so thousands of suspects at a time mean that requests aren't the cause.
 	MaxSuspects = 4096
-	// MaxCrashes bounds the crashes remembered for one fingerprint, the newest
-	// kept: two are enough for a quarantine.
+	// MaxCrashes is the maximum number of crashes remembered for one
+	// fingerprint. Two are enough for a quarantine.
 	MaxCrashes = 8
 )
 
-// Fingerprint is the SHA-256 of a partner and its request.
+// Fingerprint is the SHA-256 hash of a partner and its request.
 type Fingerprint [32]byte
 
-// Crash is a backend server's death while it ran a request.
+// Crash is the crash of a backend server while it ran a request.
 type Crash struct {
 	Server   string
-	Boot     string
-	Together uint32    // requests that the reporting instance had there
-	At       time.Time // the writer's clock
+	Boot     string    // id of the server process that crashed
+	Together uint32    // requests that the reporting instance had in flight on the server
+	At       time.Time // by the reporting instance's clock
 }
 
-// Suspect is a request during which at least one backend server died. It is immutable.
+// Suspect is a request during which at least one backend server crashed. It is
+// immutable.
 type Suspect struct {
-	Crashes []Crash // on distinct (server, boot), oldest first
-	Last    infra.Offset
+	Crashes []Crash      // at most one for each server and boot, oldest first
+	Last    infra.Offset // offset of the newest crash
 }
 
-// QuarantineView is an immutable view of the quarantine stream.
+// QuarantineView is an immutable snapshot of the quarantine stream.
 type QuarantineView struct {
 	Offset   infra.Offset
 	Suspects map[Fingerprint]*Suspect
 }
 
-// Quarantined says whether the request is refused: servers with two different
-// ids died while they ran it, both at since or later by the reporters' clocks.
-// A reader's since comes from its own clock, which only moves a quarantine's
-// end by the clocks' difference.
+// Quarantined reports whether the request must be refused: at least two different
+// servers crashed while running it, at or after since by the clocks of the
+// reporting instances. since comes from the reader's own clock. A difference
+// between the clocks only shifts the end of a quarantine by that difference.
 func (v *QuarantineView) Quarantined(f Fingerprint, since time.Time) bool {
 	first := ""
-	for _, c := range v.crashes(f, since) {
+	for _, c := range v.crashesSince(f, since) {
 		if first != "" && c.Server != first {
 			return true
 		}
@@ -58,13 +59,14 @@
 	return false
 }
 
-// Suspect says whether at least one server died at since or later while it ran
-// the request.
+// Suspect reports whether at least one server crashed while running the request, at
+// or after since.
 func (v *QuarantineView) Suspect(f Fingerprint, since time.Time) bool {
-	return len(v.crashes(f, since)) > 0
+	return len(v.crashesSince(f, since)) > 0
 }
 
-func (v *QuarantineView) crashes(f Fingerprint, since time.Time) []Crash {
+// crashesSince returns the request's crashes at or after since, oldest first.
+func (v *QuarantineView) crashesSince(f Fingerprint, since time.Time) []Crash {
 	s := v.Suspects[f]
 	if s == nil {
 		return nil
@@ -78,59 +80,63 @@
 	return out
 }
 
-// Quarantine is the quarantine stream's machine.
+// Quarantine is the state machine of the quarantine stream. It keeps the requests
+// during which backend servers crashed.
 type Quarantine struct {
-	base
+	machineBase
 	suspects map[Fingerprint]*Suspect
 	view     *QuarantineView
 }
 
 // NewQuarantine returns the machine of an empty stream.
 func NewQuarantine() *Quarantine {
-	return &Quarantine{base: newBase(), suspects: map[Fingerprint]*Suspect{}}
+	return &Quarantine{machineBase: newMachineBase(), suspects: map[Fingerprint]*Suspect{}}
 }
 
 // Apply implements Machine.
 func (q *Quarantine) Apply(offset infra.Offset, r *record.Record) {
-	if !q.begin(offset, r) {
+	if !q.accept(offset, r) {
 		return
 	}
 	switch body := r.GetBody().(type) {
 	case *record.Record_Crash:
-		q.count(r, q.crash(offset, body.Crash))
+		q.countRecord(r, q.crash(offset, body.Crash))
 	case *record.Record_Checkpoint:
-		q.count(r, applied)
+		q.countRecord(r, applied)
 	default:
-		q.count(r, foreign)
+		q.countRecord(r, unexpected)
 	}
 }
 
-func (q *Quarantine) crash(offset infra.Offset, r *record.Crash) verdict {
-	f, ok := fingerprintOf(r.GetFingerprint())
+// crash adds a crash to its request, unless the crash is already known from
+// another report.
+func (q *Quarantine) crash(offset infra.Offset, r *record.Crash) applyResult {
+	f, ok := parseFingerprint(r.GetFingerprint())
 	if !ok || r.GetServer() == "" {
-		return void
+		return noEffect
 	}
 	var crashes []Crash
 	if s := q.suspects[f]; s != nil {
 		crashes = s.Crashes
 	}
-	crash := crashOf(r)
-	if slices.ContainsFunc(crashes, crash.same) {
-		return void
+	crash := crashFromRecord(r)
+	if slices.ContainsFunc(crashes, crash.sameCrash) {
+		return noEffect
 	}
-	q.suspects[f] = &Suspect{Crashes: append(trimmed(crashes), crash), Last: offset}
+	q.suspects[f] = &Suspect{Crashes: append(trimCrashes(crashes), crash), Last: offset}
 	q.view = nil
-	q.evict()
+	q.evictOldest()
 	return applied
 }
 
-// same says whether two reports are of one death.
-func (c Crash) same(o Crash) bool { return c.Server == o.Server && c.Boot == o.Boot }
+// sameCrash reports whether both reports are about the same crash.
+func (c Crash) sameCrash(o Crash) bool { return c.Server == o.Server && c.Boot == o.Boot }
 
-// trimmed returns a copy with room for one more crash. It drops the oldest
-// crash of a server that died more than once, so that a server which keeps
-// dying doesn't hide that another one did.
-func trimmed(crashes []Crash) []Crash {
+// trimCrashes returns a copy with room for one more crash. It drops the oldest
+// crash of a server that crashed more than once, so that a server that keeps
+// crashing doesn't displace the crash of another server. If all servers differ,
+// it drops the oldest crash.
+func trimCrashes(crashes []Crash) []Crash {
 	out := slices.Clone(crashes)
 	if len(out) < MaxCrashes {
 		return out
@@ -144,7 +150,9 @@
 	return slices.Delete(out, 0, 1)
 }
 
-func (q *Quarantine) evict() {
+// evictOldest removes the suspect whose newest crash is oldest if there are more
+// than MaxSuspects.
+func (q *Quarantine) evictOldest() {
 	if len(q.suspects) <= MaxSuspects {
 		return
 	}
@@ -158,7 +166,7 @@
 	delete(q.suspects, oldest)
 }
 
-// View returns the state now. It is built anew only after a change.
+// View returns a view of the current state. It is rebuilt only after a change.
 func (q *Quarantine) View() *QuarantineView {
 	if q.view == nil {
 		q.view = &QuarantineView{Offset: q.offset, Suspects: maps.Clone(q.suspects)}
@@ -178,7 +186,7 @@
 	slices.SortFunc(state.Suspects, func(a, b *record.Suspect) int {
 		return bytes.Compare(a.GetFingerprint(), b.GetFingerprint())
 	})
-	out := q.checkpoint()
+	out := q.newCheckpoint()
 	out.State = &record.Checkpoint_Quarantine{Quarantine: state}
 	return out
 }
@@ -196,31 +204,32 @@
 // Restore implements Machine.
 func (q *Quarantine) Restore(cp *record.Checkpoint) error {
 	state := cp.GetQuarantine()
-	if err := q.admissible(cp, state != nil); err != nil {
+	if err := q.checkRestore(cp, state != nil); err != nil {
 		return err
 	}
 	q.restore(cp)
 	q.view = nil
 	q.suspects = map[Fingerprint]*Suspect{}
 	for _, s := range state.GetSuspects() {
-		f, ok := fingerprintOf(s.GetFingerprint())
+		f, ok := parseFingerprint(s.GetFingerprint())
 		if !ok {
 			continue
 		}
 		suspect := &Suspect{Last: infra.Offset(s.GetLast())}
 		for _, c := range s.GetCrashes() {
-			suspect.Crashes = append(suspect.Crashes, crashOf(c))
+			suspect.Crashes = append(suspect.Crashes, crashFromRecord(c))
 		}
 		q.suspects[f] = suspect
 	}
 	return nil
 }
 
-func crashOf(c *record.Crash) Crash {
+func crashFromRecord(c *record.Crash) Crash {
 	return Crash{Server: c.GetServer(), Boot: c.GetBoot(), Together: c.GetTogether(), At: time.UnixMilli(c.GetAtUnixMs())}
 }
 
-func fingerprintOf(b []byte) (Fingerprint, bool) {
+// parseFingerprint returns b as a fingerprint, or false if b has the wrong length.
+func parseFingerprint(b []byte) (Fingerprint, bool) {
 	var f Fingerprint
 	return f, copy(f[:], b) == len(f) && len(b) == len(f)
 }
--- a/replay/replay.go
+++ b/replay/replay.go
@@ -1,8 +1,12 @@
-// Package replay rebuilds this system's shared state from the platform's log.
-// Each stream has a machine: a pure function of the records read, with no
-// clock, no randomness and no I/O, so that any two readers of the same records
-// agree. A record that a machine doesn't know, or that is void at its place on
-// the log, changes nothing but the machine's counters.
+// Package replay contains the replicated state machines that rebuild the shared
+// state of all instances from the platform's log.
+//
+// Each kind of stream has a Machine: Config, Control, Quarantine and Claims. Its
+// state depends only on the records applied, never on a clock, randomness or
+// I/O, so any two readers of the same records agree. A record that a machine
+// doesn't support, or that the state at its offset doesn't allow, changes only
+// the machine's counters. All machines but Claims can be saved to a checkpoint
+// and restored from one.
 package replay
 
 import (
@@ -10,51 +14,54 @@
 	"greengageferry/record"
 )
 
-// Machine is the state of one stream. It is stepped by its one owner.
+// Machine is the state machine of one stream. It isn't safe for concurrent use.
 type Machine interface {
-	// Apply steps the machine with the record at the next offset. Offsets
-	// ascend; one that was applied already is ignored.
+	// Apply applies the record at offset. Offsets must ascend; a record at or
+	// below the offset last applied is ignored.
 	Apply(offset infra.Offset, r *record.Record)
-	// Offset returns the offset last applied.
+	// Offset returns the offset of the record last applied.
 	Offset() infra.Offset
-	// Checkpoint returns the whole state after Offset, or nil for a stream
-	// that has none.
+	// Checkpoint returns the whole state as of Offset, or nil if the stream has
+	// no checkpoints.
 	Checkpoint() *record.Checkpoint
-	// Restore replaces the state by a checkpoint's. It refuses one that covers
-	// less than Offset, so that no reader goes back.
+	// Restore replaces the state with the checkpoint's. It returns an error for
+	// a checkpoint older than Offset, so that no reader goes back.
 	Restore(c *record.Checkpoint) error
 }
 
-// Item converts a record's item.
+// Item converts an item from its form in records.
 func Item(i *record.Item) infra.Item {
 	return infra.Item{Model: i.GetModel(), Adapter: i.GetAdapter(), Version: i.GetVersion(), MiB: i.GetMib()}
 }
 
-// ControlView is an immutable view of a failure domain's control stream.
+// ControlView is an immutable snapshot of a failure domain's control stream.
 type ControlView struct {
-	Offset   infra.Offset
-	Lease    Lease
-	Orderers map[string]infra.Offset // instances that may send orders, and where they joined
-	Servers  map[string]*Server      // by backend server id; each *Server is immutable too
+	Offset infra.Offset
+	Lease  Lease
+	// Orderers contains the instances that may send load and unload orders to
+	// backend servers, each with the offset of its join.
+	Orderers map[string]infra.Offset
+	Servers  map[string]*Server // by backend server id; each *Server is immutable
 }
 
-// Lease is a failure domain's placement lease.
+// Lease is a failure domain's placement lease: its holder decides what the
+// domain's backend servers hold.
 type Lease struct {
-	ID         infra.Offset // the claim's offset; 0: none was ever claimed
+	ID         infra.Offset // offset of the claim; 0: the lease was never claimed
 	Holder     string       // instance id
 	DurationMS uint32
-	Renewed    infra.Offset // the last record that extended it
+	Renewed    infra.Offset // offset of the newest claim, renewal or release that took effect
 	Released   bool
 }
 
-// Server is what the log says of one backend server.
+// Server is the state of one backend server according to the log.
 type Server struct {
 	ID         string
 	Pool       string
 	MemoryMiB  int64
-	Assignment infra.Offset // the newest assignment's offset: the fencing number of its orders
-	Assigned   []infra.Item // what it may hold
-	Lingering  []infra.Item // dropped, but may still be there or come back
-	Ready      []infra.Item // what it is known to serve; a subset of Assigned
-	Boot       string
+	Assignment infra.Offset // offset of the newest assignment, used as the fencing token of its orders
+	Assigned   []infra.Item // items that the server may hold
+	Lingering  []infra.Item // items no longer assigned that may still be loaded, or be loaded again
+	Ready      []infra.Item // items that the server is known to serve; a subset of Assigned
+	Boot       string       // id of the server process, as of the newest readiness record
 }
--- a/whole/deploy_test.go
+++ b/whole/deploy_test.go
@@ -274,7 +274,7 @@
 	client := &http.Client{Transport: d.transport("operators"), Timeout: 2 * time.Second}
 	var accepted uint64
 	for ctx.Err() == nil {
-		if changed := uint64(d.inForce().Changed); changed > accepted {
+		if changed := uint64(d.inForce().LastChange); changed > accepted {
 			accepted = changed
 			d.mu.Lock()
 			d.truth.Accepted = append(d.truth.Accepted, Accepted{Offset: accepted, At: time.Now()})
--- a/whole/failures_test.go
+++ b/whole/failures_test.go
@@ -418,6 +418,6 @@
 			now := d.inForce().Base(f.Name)
 			require.Equal(t, f.Offset, now, "a broken edit of %s took effect", f.Name)
 		}
-		require.NotEqual(t, view.Changed, d.inForce().Changed, "no edit was accepted")
+		require.NotEqual(t, view.LastChange, d.inForce().LastChange, "no edit was accepted")
 	})
 }
