--- a/caller/attempts_test.go
+++ b/caller/attempts_test.go
@@ -58,10 +58,10 @@
 	r.Drain()
 	<-r.Idle()
 	r.stop()
-	require.Empty(t, r.ring)
-	require.Zero(t, r.known.Load(), "requests that the dispatcher still knows")
-	for id, f := range r.flights.servers {
-		require.Zero(t, f.count, "in flight at %s", id)
+	require.Empty(t, r.queue)
+	require.Zero(t, r.knownRequests.Load(), "requests that the dispatcher still knows")
+	for id, f := range r.serverTracker.states {
+		require.Zero(t, f.inFlight, "in flight at %s", id)
 	}
 }
 
@@ -223,8 +223,8 @@
 	r.engine.status = func(addr string) (infra.ServerStatus, error) {
 		return infra.ServerStatus{Boot: boots[len(r.engine.attempts())]}, nil
 	}
-	r.Booted("e0", "boot-0")
-	r.Booted("e1", "boot-0")
+	r.UpdateBoot("e0", "boot-0")
+	r.UpdateBoot("e1", "boot-0")
 	w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`)
 	require.Equal(t, http.StatusUnprocessableEntity, w.Code, w.Body)
 	require.Contains(t, w.Body.String(), `"code":"quarantined"`)
@@ -239,8 +239,8 @@
 func TestBrokenConnectionToALivingServerIsNoCrash(t *testing.T) {
 	r := newRig(t)
 	r.onFirst(func(context.Context, infra.GenerateRequest) (infra.Stream, error) { return nil, broke() })
-	r.Booted("e0", "boot-1")
-	r.Booted("e1", "boot-1")
+	r.UpdateBoot("e0", "boot-1")
+	r.UpdateBoot("e1", "boot-1")
 	w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`)
 	require.Equal(t, http.StatusOK, w.Code)
 	r.empty(t)
@@ -272,7 +272,7 @@
 func TestClaimedAnswerIsReplayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
-		key := header{HeaderIdemKey: "order-17"}
+		key := header{HeaderIdempotencyKey: "order-17"}
 		first := r.post("/v1/completions", streamed, key)
 		again := r.post("/v1/completions", strings.ReplaceAll(streamed, ",", " , "), key)
 		require.Equal(t, first.Body.String(), again.Body.String())
--- a/caller/call.go
+++ b/caller/call.go
@@ -7,15 +7,16 @@
 	"greengageferry/decide"
 )
 
-// decisionsHeld is how many decisions one call may have unread: the one it
-// waits for, and a refusal that crosses its end. More are dropped and logged.
-const decisionsHeld = 2
+// decisionBuffer is the number of unread decisions that one call can hold: the
+// one the call waits for, and a refusal sent while the call ends. Further ones
+// are logged, counted and dropped.
+const decisionBuffer = 2
 
-// call is one caller's request, from its arrival to its one final answer. Its
-// handler owns it; the dispatcher only writes to decisions.
+// call is one request, from its arrival to its final answer. The request's handler
+// owns the call; the dispatcher only writes to decisions.
 type call struct {
 	id          string
-	who         identity
+	sender      identity
 	target      *decide.Target
 	arrived     time.Time
 	deadline    time.Time
@@ -28,20 +29,21 @@
 
 	decisions chan decide.Decision
 
-	// mayHaveRun: a byte of some attempt may have reached a server that did
-	// not refuse it before starting. Never unset once true at an attempt's end.
+	// mayHaveRun says that a byte of some attempt may have reached a server that
+	// did not refuse the attempt before starting. Once true at the end of an
+	// attempt, it stays true.
 	mayHaveRun bool
-	server     decide.Server // the last one asked; zero: none
-	crashes    int           // servers that died while they ran it
-	replayed   bool          // answered with an earlier request's answer
+	server     decide.Server // the server of the last attempt; zero if there was none
+	crashes    int           // servers that crashed while running the call
+	replayed   bool          // answered with the stored answer of an earlier request
 
-	ended atomic.Bool // the scheduler was told that it is over
+	ended atomic.Bool // the scheduler was told that the call ended
 }
 
-func (c *call) request(suspect bool) decide.Request {
+func (c *call) schedulerRequest(suspect bool) decide.Request {
 	return decide.Request{
 		ID:          c.id,
-		Partner:     c.who.partner,
+		Partner:     c.sender.partner,
 		Target:      c.target.Name,
 		Priority:    c.priority,
 		Arrived:     c.arrived,
--- a/caller/cancels.go
+++ b/caller/cancels.go
@@ -10,35 +10,36 @@
 )
 
 const (
-	// cancelTime bounds one order to cancel. An engine that doesn't answer in
-	// it ends the attempt when it finds its reader gone.
-	cancelTime = 2 * time.Second
-	// cancelsAtOnce keeps servers that don't answer from holding up the others.
-	cancelsAtOnce = 16
+	// cancelTimeout limits one cancel request. An engine that doesn't answer in
+	// time ends the attempt anyway when it notices that the connection is closed.
+	cancelTimeout = 2 * time.Second
+	// maxConcurrentCancels keeps unresponsive servers from delaying cancels at
+	// others.
+	maxConcurrentCancels = 16
 )
 
-// cancelOrder asks for the end of an attempt, or, without one, only for the
-// server's boot.
-type cancelOrder struct {
+// cancelRequest asks a server to cancel an attempt, or, if attempt is empty, only for
+// its boot ID.
+type cancelRequest struct {
 	server  decide.Server
 	attempt string
 }
 
-// cancelAttempt has an attempt ended that brought no whole answer and may still
-// run. Ring full: dropped and counted, since the engine ends an attempt whose
-// reader is gone as well.
+// cancelAttempt queues the cancel of an attempt that produced no complete answer and
+// may still run. If the queue is full the cancel is dropped and counted, since the
+// engine also ends an attempt whose connection is closed.
 func (s *Server) cancelAttempt(server decide.Server, attempt string) {
-	if !s.cancels.put(cancelOrder{server, attempt}) {
+	if !s.cancels.put(cancelRequest{server, attempt}) {
 		s.metrics.count("cancels_dropped")
 	}
 }
 
-func (s *Server) sendCancel(ctx context.Context, o cancelOrder) {
-	ctx, cancel := context.WithTimeout(ctx, cancelTime)
+func (s *Server) sendCancel(ctx context.Context, o cancelRequest) {
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	if o.attempt == "" {
 		if status, err := s.opts.Engine.Status(ctx, o.server.Addr); err == nil {
-			s.flights.booted(o.server.ID, status.Boot, time.Now())
+			s.serverTracker.updateBoot(o.server.ID, status.Boot, time.Now())
 		}
 		return
 	}
--- a/caller/conn_test.go
+++ b/caller/conn_test.go
@@ -32,8 +32,8 @@
 		table.Servers[i].Addr = engine.Listener.Addr().String()
 	}
 	r.SetTable(table)
-	r.Booted("e0", "b")
-	r.Booted("e1", "b")
+	r.UpdateBoot("e0", "b")
+	r.UpdateBoot("e1", "b")
 	for range 20 {
 		w := r.post(pathCompletions, streamed)
 		require.Equal(t, http.StatusOK, w.Code, w.Body)
--- a/caller/crash.go
+++ b/caller/crash.go
@@ -11,152 +11,156 @@
 )
 
 const (
-	// crashesAtOnce is more than the requests that one instance has at a server
-	// that dies, so that an outage of the log holds up no other server's.
-	crashesAtOnce = 64
-	// statusTime is how long the question waits whether a server died. A dead
-	// process refuses the connection at once; this bounds what a lost network
-	// adds to a retry.
-	statusTime = 300 * time.Millisecond
-	// bootEvery is how often a server in use is asked which boot it is: a
-	// restart that nobody's request caused is mistaken for a crash only if it
-	// falls between the last question and the attempt.
-	bootEvery = 30 * time.Second
+	// maxConcurrentCrashReports is more than the requests that one instance has at
+	// one server, so that during a log outage the reports of one crashed server
+	// don't block those of others.
+	maxConcurrentCrashReports = 64
+	// crashCheckTimeout limits the status query that tells whether a server
+	// crashed. A dead process refuses the connection at once; the timeout limits
+	// the delay that a lost network adds to a retry.
+	crashCheckTimeout = 300 * time.Millisecond
+	// bootCheckInterval is the time between queries for the boot ID of a server in
+	// use. A restart that no request caused is mistaken for a crash only if it
+	// happens between the last query and the attempt.
+	bootCheckInterval = 30 * time.Second
 )
 
-// flights knows what this instance has in flight at each backend server, and
-// which boot each was last seen in.
-type flights struct {
-	mu      sync.Mutex
-	servers map[string]*flight
+// serverTracker tracks this instance's attempts in flight at each backend server and
+// the server's last known boot ID, which changes whenever the server restarts.
+type serverTracker struct {
+	mu     sync.Mutex
+	states map[string]*serverState
 }
 
-type flight struct {
-	count int
-	boot  string
-	asked time.Time // when its boot was last asked for
+type serverState struct {
+	inFlight      int       // attempts
+	boot          string    // empty if unknown
+	bootCheckedAt time.Time // when the boot ID was last queried or reported
 }
 
-func newFlights() *flights { return &flights{servers: map[string]*flight{}} }
+func newServerTracker() *serverTracker { return &serverTracker{states: map[string]*serverState{}} }
 
-// begin counts an attempt in, and returns the boot that the server is known in.
-func (f *flights) begin(server string) (boot string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	e := f.at(server)
-	e.count++
-	return e.boot
+// begin counts a new attempt and returns the server's known boot ID.
+func (t *serverTracker) begin(server string) (boot string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.state(server)
+	st.inFlight++
+	return st.boot
 }
 
-func (f *flights) end(server string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.at(server).count--
+func (t *serverTracker) end(server string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.state(server).inFlight--
 }
 
-// at returns the server's entry. The lock is held.
-func (f *flights) at(server string) *flight {
-	e := f.servers[server]
-	if e == nil {
-		e = &flight{}
-		f.servers[server] = e
+// state returns the server's state, creating it if needed. The caller holds the lock.
+func (t *serverTracker) state(server string) *serverState {
+	st := t.states[server]
+	if st == nil {
+		st = &serverState{}
+		t.states[server] = st
 	}
-	return e
+	return st
 }
 
-// shouldAsk says whether it is time to ask the server for its boot.
-func (f *flights) shouldAsk(server string, now time.Time) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	e := f.at(server)
-	if !e.asked.IsZero() && now.Sub(e.asked) < bootEvery {
+// bootCheckDue reports whether it is time to query the server's boot ID, and records
+// that it will be queried now.
+func (t *serverTracker) bootCheckDue(server string, now time.Time) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.state(server)
+	if !st.bootCheckedAt.IsZero() && now.Sub(st.bootCheckedAt) < bootCheckInterval {
 		return false
 	}
-	e.asked = now
+	st.bootCheckedAt = now
 	return true
 }
 
-// booted takes in the boot that a server was seen in now, and returns the one
-// known before and the requests in flight there.
-func (f *flights) booted(server, boot string, now time.Time) (before string, together int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	e := f.at(server)
-	before, together = e.boot, e.count
+// updateBoot records the server's boot ID, if not empty. It returns the previously
+// known one and the number of attempts in flight at the server.
+func (t *serverTracker) updateBoot(server, boot string, now time.Time) (previous string, attempts int) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	st := t.state(server)
+	previous, attempts = st.boot, st.inFlight
 	if boot != "" {
-		e.boot = boot
-		e.asked = now
+		st.boot = boot
+		st.bootCheckedAt = now
 	}
-	return before, together
+	return previous, attempts
 }
 
-// keepOnly forgets servers that are neither in the table nor in use.
-func (f *flights) keepOnly(t *decide.Table) {
-	known := make(map[string]bool, len(t.Servers))
-	for _, s := range t.Servers {
+// retainListed drops servers that are neither in the table nor in use.
+func (t *serverTracker) retainListed(table *decide.Table) {
+	known := make(map[string]bool, len(table.Servers))
+	for _, s := range table.Servers {
 		known[s.ID] = true
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for id, e := range f.servers {
-		if !known[id] && e.count == 0 {
-			delete(f.servers, id)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for id, st := range t.states {
+		if !known[id] && st.inFlight == 0 {
+			delete(t.states, id)
 		}
 	}
 }
 
-// Booted tells of the boot that a backend server was seen in, where the entry
-// instance asks for its status anyway.
-func (s *Server) Booted(server, boot string) { s.flights.booted(server, boot, time.Now()) }
+// UpdateBoot records a backend server's boot ID. The entry instance calls it with
+// the status that it queries for other reasons.
+func (s *Server) UpdateBoot(server, boot string) {
+	s.serverTracker.updateBoot(server, boot, time.Now())
+}
 
-// learnBoot asks for the server's boot while an attempt runs there, so that its
-// death can be told from a broken connection.
-func (s *Server) learnBoot(server decide.Server) {
-	if !s.flights.shouldAsk(server.ID, time.Now()) {
+// refreshBoot queries the server's boot ID while an attempt runs there, so that a
+// crash can be distinguished from a broken connection.
+func (s *Server) refreshBoot(server decide.Server) {
+	if !s.serverTracker.bootCheckDue(server.ID, time.Now()) {
 		return
 	}
-	s.cancels.put(cancelOrder{server: server}) // no attempt: only the boot; full: asked again after bootEvery
+	s.cancels.put(cancelRequest{server: server}) // without an attempt: only a boot query; if the queue is full, the next query follows after bootCheckInterval
 }
 
-// diedUnder says whether the server died while it ran the attempt, and reports
-// it. It did if the connection broke without an answer and the server then
-// isn't reachable or is in another boot. The boot to compare with is the one
-// known when the attempt began: what was learned since may be of the next boot.
-// A plain service tells no boot: its deaths can't be told from a broken
-// connection and aren't reported.
-func (s *Server) diedUnder(ctx context.Context, c *call, boot string, e *attemptError) bool {
-	broke := e.failure.Reason == infra.ReasonUnreachable && e.failure.Effect == infra.EffectUnknown
-	if !broke || e.gone || ctx.Err() != nil || c.target.Service {
+// detectCrash reports whether the server crashed while running the attempt, and
+// sends a crash report if so. A crash is assumed if the connection broke without an
+// answer and the server is now unreachable or has another boot ID. The comparison
+// uses the boot ID known when the attempt began, since one learned later may belong
+// to the next boot. A plain service has no boot ID: its crashes can't be
+// distinguished from a broken connection and aren't reported.
+func (s *Server) detectCrash(ctx context.Context, c *call, boot string, e *attemptError) bool {
+	connBroken := e.failure.Reason == infra.ReasonUnreachable && e.failure.Effect == infra.EffectUnknown
+	if !connBroken || e.disconnected || ctx.Err() != nil || c.target.Service {
 		return false
 	}
-	statusCtx, cancel := context.WithTimeout(ctx, statusTime)
+	statusCtx, cancel := context.WithTimeout(ctx, crashCheckTimeout)
 	defer cancel()
 	status, err := s.opts.Engine.Status(statusCtx, c.server.Addr)
-	learned, together := s.flights.booted(c.server.ID, status.Boot, time.Now())
-	before := boot
-	if before == "" {
-		before = learned
+	lastKnown, inFlight := s.serverTracker.updateBoot(c.server.ID, status.Boot, time.Now())
+	previous := boot
+	if previous == "" {
+		previous = lastKnown
 	}
-	if err == nil && (before == "" || before == status.Boot) {
+	if err == nil && (previous == "" || previous == status.Boot) {
 		return false
 	}
 	if err != nil && failureOf(err).Reason != infra.ReasonUnreachable {
-		return false // it answers, or is only slow
+		return false // the server answers, or is only slow
 	}
 	s.metrics.count("crashes")
 	s.reportCrash(&record.Crash{
 		Fingerprint: c.fingerprint[:],
 		Server:      c.server.ID,
-		Boot:        before,
-		Together:    uint32(together),
+		Boot:        previous,
+		Together:    uint32(inFlight),
 		AtUnixMs:    time.Now().UnixMilli(),
 	})
 	return true
 }
 
-// reportCrash has a server's death put on the log; no request waits for that.
-// Ring full: dropped and counted. The next death under the same request is
-// reported anew.
+// reportCrash queues a crash report for the log; no request waits for it. If the
+// queue is full the report is dropped and counted. The next crash caused by the
+// same request is reported again.
 func (s *Server) reportCrash(c *record.Crash) {
 	if !s.crashes.put(c) {
 		s.metrics.count("crash_reports_dropped")
--- a/caller/deps.go
+++ b/caller/deps.go
@@ -1,6 +1,14 @@
-// Package caller is the callers' side of an entry instance: the OpenAI-style
-// HTTP interface, the plain services, and each request's way from arrival to
-// its one final answer.
+// Package caller serves the callers' side of an entry instance: the
+// OpenAI-compatible HTTP interface to models, and the plain HTTP services.
+//
+// A Server takes in each request as a call. The handler authenticates and parses
+// the request; the dispatcher, which owns the scheduler, decides when and to which
+// backend server the call goes; the call's job makes the attempts and relays the
+// answer through a response. A request with an idempotency key is first
+// claimed on the log, so that it runs once on all instances together. Its answer
+// stays in the instance's answerCache and is replayed to later requests with the
+// same key. Every request ends with one answer: the backend server's, a replayed
+// one, or a typed api.Problem that says whether the request may have run.
 package caller
 
 import (
@@ -11,24 +19,26 @@
 	"greengageferry/record"
 )
 
-// Directory gives the configuration in force. It is nil before the instance
-// knows any.
+// Directory provides the configuration in force. Config returns nil before the
+// instance knows one.
 type Directory interface {
 	Config() *config.Config
 }
 
-// Quarantine knows which requests crash backend servers.
+// Quarantine tracks requests, by fingerprint, that crash backend servers.
 type Quarantine interface {
-	// Quarantined says whether the fingerprint is refused now.
+	// Quarantined reports whether requests with the fingerprint are refused.
 	Quarantined(fingerprint [32]byte) bool
-	// Suspect says whether a backend server died while it ran the fingerprint,
-	// though not often enough for a quarantine.
+	// Suspect reports whether a backend server crashed while running a request
+	// with the fingerprint, but not often enough for a quarantine.
 	Suspect(fingerprint [32]byte) bool
-	// Crashed reports that a backend server died while it ran the fingerprint.
-	Crashed(ctx context.Context, c *record.Crash)
+	// ReportCrash records that a backend server crashed while running a request
+	// with the fingerprint.
+	ReportCrash(ctx context.Context, c *record.Crash)
 }
 
-// Answer is a whole answer, kept for resends of a claimed request.
+// Answer is a complete answer to a claimed request, stored so that it can be
+// replayed to later requests with the same idempotency key.
 type Answer struct {
 	Request       string
 	Status        int
@@ -38,12 +48,12 @@
 	Server        string
 }
 
-// Answers finds the answer that an instance gave to a claimed request.
+// Answers fetches the answers that instances gave to claimed requests.
 type Answers interface {
-	// Fetch asks the instance for the answer to the attempt. finished is false
-	// while it still runs.
+	// Fetch requests the answer to the attempt from the instance. finished is
+	// false while the attempt runs; found is false if the instance has no answer.
 	Fetch(ctx context.Context, instance, attempt string) (a Answer, finished, found bool, err error)
 }
 
-// Services sends calls to plain services' backend servers.
+// Services sends calls to the backend servers of plain services.
 type Services = infra.Services
--- a/caller/dispatcher.go
+++ b/caller/dispatcher.go
@@ -11,32 +11,31 @@
 	"greengageferry/infra"
 )
 
-// tickEvery is how often time passes for the scheduler while it has requests:
-// fine enough that a refusal for a deadline comes "at once" beside a first
-// token's target of hundreds of ms.
-const tickEvery = 10 * time.Millisecond
-
-// dispatcher is the duty that owns the scheduler. It is told of everything
-// through its ring, steps the scheduler and hands each decision to the call
-// that it is about. It waits for nobody but its ring.
+// tickInterval is the time between the scheduler's ticks while it has requests.
+// It is short relative to the target for the first token, which is hundreds of
+// ms, so that requests that would miss their deadline are refused promptly.
+const tickInterval = 10 * time.Millisecond
+
+// dispatcher is the duty that owns the scheduler. It takes events from a queue,
+// applies them to the scheduler and delivers each decision to its call. It never
+// blocks except on its queue.
 type dispatcher struct {
 	server    *Server
 	scheduler *decide.Scheduler
-	calls     map[string]*call // those that the scheduler was told of, by request id
+	calls     map[string]*call // calls that the scheduler knows, by request ID
 }
 
-// know and forget keep the calls that the scheduler was told of.
-func (d *dispatcher) know(c *call) {
+func (d *dispatcher) track(c *call) {
 	d.calls[c.id] = c
-	d.server.known.Store(int64(len(d.calls)))
+	d.server.knownRequests.Store(int64(len(d.calls)))
 }
 
 func (d *dispatcher) forget(request string) {
 	delete(d.calls, request)
-	d.server.known.Store(int64(len(d.calls)))
+	d.server.knownRequests.Store(int64(len(d.calls)))
 }
 
-// event is one thing that happened, told to the dispatcher.
+// event is a change that the dispatcher applies to the scheduler.
 type event interface {
 	apply(d *dispatcher, now time.Time) []decide.Decision
 }
@@ -46,7 +45,7 @@
 	suspect bool
 }
 
-type failed struct {
+type attemptFailed struct {
 	call    *call
 	server  string
 	failure decide.Failure
@@ -58,27 +57,27 @@
 	outcome decide.Outcome
 }
 
-type left struct{ call *call }
+type canceled struct{ call *call }
 
-type reported struct {
+type loadReported struct {
 	server string
 	load   infra.Load
 	age    time.Duration
 }
 
-type cached struct {
+type cacheChanged struct {
 	server string
 	events []infra.CacheEvent
 }
 
 func (e arrived) apply(d *dispatcher, now time.Time) []decide.Decision {
-	d.know(e.call)
-	return d.scheduler.Arrive(now, e.call.request(e.suspect))
+	d.track(e.call)
+	return d.scheduler.Arrive(now, e.call.schedulerRequest(e.suspect))
 }
 
-func (e failed) apply(d *dispatcher, now time.Time) []decide.Decision {
-	if d.calls[e.call.id] == nil { // the scheduler that knew it was lost in a restart
-		e.call.tell(restartRefusal(e.call.id))
+func (e attemptFailed) apply(d *dispatcher, now time.Time) []decide.Decision {
+	if d.calls[e.call.id] == nil { // the scheduler that knew the call was lost in a restart
+		e.call.notify(restartRefusal(e.call.id))
 		return nil
 	}
 	d.server.observeFailure(e.server, e.failure)
@@ -94,7 +93,7 @@
 	return d.scheduler.Ended(now, e.call.id, e.server, e.outcome)
 }
 
-func (e left) apply(d *dispatcher, now time.Time) []decide.Decision {
+func (e canceled) apply(d *dispatcher, now time.Time) []decide.Decision {
 	if d.calls[e.call.id] == nil {
 		return nil
 	}
@@ -102,40 +101,42 @@
 	return d.scheduler.Left(now, e.call.id)
 }
 
-func (e reported) apply(d *dispatcher, now time.Time) []decide.Decision {
+func (e loadReported) apply(d *dispatcher, now time.Time) []decide.Decision {
 	return d.scheduler.Reported(now, e.server, e.load, e.age)
 }
 
-func (e cached) apply(d *dispatcher, now time.Time) []decide.Decision {
+func (e cacheChanged) apply(d *dispatcher, now time.Time) []decide.Decision {
 	d.scheduler.Cached(now, e.server, e.events)
 	return nil
 }
 
-// reasonRestarted is the reason of the refusals that a lost scheduler causes.
-const reasonRestarted decide.Reason = CodeRestarted
+// reasonDispatcherRestarted is the reason for refusing requests whose scheduler
+// was lost in a restart.
+const reasonDispatcherRestarted decide.Reason = CodeDispatcherRestarted
 
 func restartRefusal(request string) decide.Decision {
-	return decide.Decision{Request: request, Action: decide.ActionRefuse, Reason: reasonRestarted, RetryAfter: soon}
+	return decide.Decision{Request: request, Action: decide.ActionRefuse, Reason: reasonDispatcherRestarted, RetryAfter: shortRetryAfter}
 }
 
-// dispatch is the dispatcher's duty until ctx ends. If it panics, its supervisor starts it again with
-// a new scheduler; what waited for a decision is refused.
-func (s *Server) dispatch(ctx context.Context) error {
+// runDispatcher runs the dispatcher until ctx ends. After a panic, the supervisor
+// starts it again with a new scheduler; calls that waited for a decision are
+// refused.
+func (s *Server) runDispatcher(ctx context.Context) error {
 	d := &dispatcher{
 		server:    s,
 		scheduler: decide.NewScheduler(rand.New(rand.NewPCG(s.rng.Uint64(), s.rng.Uint64()))),
 		calls:     map[string]*call{},
 	}
-	s.known.Store(0)
-	defer d.abandon()
+	s.knownRequests.Store(0)
+	defer d.refuseWaiting()
 	if t := s.table.Load(); t != nil {
-		d.carryOut(d.scheduler.SetTable(time.Now(), t))
+		d.deliver(d.scheduler.SetTable(time.Now(), t))
 	}
 	return d.loop(ctx)
 }
 
 func (d *dispatcher) loop(ctx context.Context) error {
-	ticker := time.NewTicker(tickEvery)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		var ticks <-chan time.Time
@@ -144,59 +145,61 @@
 		}
 		select {
 		case <-ctx.Done():
-			d.empty()
+			d.drainEvents()
 			return nil
-		case e := <-d.server.ring:
-			d.carryOut(e.apply(d, time.Now()))
+		case e := <-d.server.queue:
+			d.deliver(e.apply(d, time.Now()))
 		case <-d.server.newTable:
 			t := d.server.table.Load()
-			d.server.flights.keepOnly(t)
-			d.carryOut(d.scheduler.SetTable(time.Now(), t))
+			d.server.serverTracker.retainListed(t)
+			d.deliver(d.scheduler.SetTable(time.Now(), t))
 		case <-ticks:
-			d.carryOut(d.scheduler.Tick(time.Now()))
+			d.deliver(d.scheduler.Tick(time.Now()))
 		}
 	}
 }
 
-// empty takes in what is still on the ring.
-func (d *dispatcher) empty() {
+// drainEvents applies the events still in the queue.
+func (d *dispatcher) drainEvents() {
 	for {
 		select {
-		case e := <-d.server.ring:
-			d.carryOut(e.apply(d, time.Now()))
+		case e := <-d.server.queue:
+			d.deliver(e.apply(d, time.Now()))
 		default:
 			return
 		}
 	}
 }
 
-// abandon refuses what waits for a decision that won't come.
-func (d *dispatcher) abandon() {
+// refuseWaiting refuses the calls whose decision will not come because the
+// dispatcher ends.
+func (d *dispatcher) refuseWaiting() {
 	for id, c := range d.calls {
-		c.tell(restartRefusal(id))
+		c.notify(restartRefusal(id))
 	}
 }
 
-// carryOut logs each decision and hands it to its call.
-func (d *dispatcher) carryOut(decisions []decide.Decision) {
-	for _, dec := range decisions {
-		c := d.calls[dec.Request]
-		d.server.logDecision(c, dec)
-		if c == nil || dec.Action == decide.ActionQueue {
+// deliver logs each decision and passes it to its call.
+func (d *dispatcher) deliver(decisions []decide.Decision) {
+	for _, decision := range decisions {
+		c := d.calls[decision.Request]
+		d.server.logDecision(c, decision)
+		if c == nil || decision.Action == decide.ActionQueue {
 			continue
 		}
-		d.server.opts.Observer.Decided(c.target.Name, dec)
-		if dec.Action == decide.ActionRefuse {
-			d.forget(dec.Request)
+		d.server.opts.Observer.Decided(c.target.Name, decision)
+		if decision.Action == decide.ActionRefuse {
+			d.forget(decision.Request)
 		}
-		if !c.tell(dec) {
+		if !c.notify(decision) {
 			d.server.metrics.count("decisions_dropped")
 		}
 	}
 }
 
-// tell hands the call a decision. It says false if the call reads none any more.
-func (c *call) tell(d decide.Decision) bool {
+// notify passes a decision to the call. It returns false if the call no longer
+// reads decisions.
+func (c *call) notify(d decide.Decision) bool {
 	select {
 	case c.decisions <- d:
 		return true
@@ -211,8 +214,7 @@
 	decide.ActionRefuse:   "refuse",
 }
 
-// logDecision writes the one line for a routing decision, with its inputs and
-// its reason.
+// logDecision counts a routing decision and logs it with its inputs and reason.
 func (s *Server) logDecision(c *call, d decide.Decision) {
 	s.metrics.count("decisions." + actionNames[d.Action] + "." + string(d.Reason))
 	fields := logrus.Fields{
@@ -227,7 +229,7 @@
 		"score":      d.Inputs.Score,
 	}
 	if c != nil {
-		fields["partner"] = c.who.partner
+		fields["partner"] = c.sender.partner
 		fields["target"] = c.target.Name
 		fields["priority"] = c.priority
 	}
@@ -241,30 +243,32 @@
 	s.opts.Log.WithFields(fields).Info("routing decision")
 }
 
-// offer puts an arrival on the ring to the dispatcher. Ring full: the arrival
-// is refused as not run, since a backlog there is lost time for every request.
-func (s *Server) offer(e event) bool {
+// tryEnqueue queues an event for the dispatcher. It returns false if the queue is
+// full. A new request is then refused as not run, since a backlog in this queue
+// delays every request.
+func (s *Server) tryEnqueue(e event) bool {
 	select {
-	case s.ring <- e:
+	case s.queue <- e:
 		return true
 	default:
 		return false
 	}
 }
 
-// tell puts an event of a request in hand on the ring. Ring full: it waits,
-// since a lost event would keep a server's slot; the dispatcher waits for
-// nobody, so the ring empties.
-func (s *Server) tell(e event) {
+// enqueue queues an event of an admitted request. If the queue is full it blocks,
+// since a lost event would leak a server's slot. The dispatcher itself never
+// blocks, so the queue drains.
+func (s *Server) enqueue(e event) {
 	select {
-	case s.ring <- e:
+	case s.queue <- e:
 	case <-s.stopped:
 	}
 }
 
-// hint puts a hint on the ring. Ring full: it is dropped; the next one is newer.
-func (s *Server) hint(e event) {
-	if !s.offer(e) {
+// enqueueHint queues an advisory event. If the queue is full the event is dropped,
+// since a newer one will follow.
+func (s *Server) enqueueHint(e event) {
+	if !s.tryEnqueue(e) {
 		s.metrics.count("hints_dropped")
 	}
 }
--- a/caller/duties_test.go
+++ b/caller/duties_test.go
@@ -19,7 +19,7 @@
 
 // faulty is an observer that panics once.
 type faulty struct {
-	noObserver
+	nopObserver
 	done atomic.Bool
 }
 
@@ -41,7 +41,7 @@
 		go func() { ended <- s.Run(ctx) }()
 		second := &rig{Server: s}
 		w := second.post(pathCompletions, `{"model":"tray","prompt":"p"}`)
-		requireNotRun(t, w, http.StatusServiceUnavailable, CodeRestarted)
+		requireNotRun(t, w, http.StatusServiceUnavailable, CodeDispatcherRestarted)
 		require.Contains(t, w.Body.String(), "started again")
 		var panicked *supervise.PanicError
 		require.True(t, errors.As(<-ended, &panicked))
@@ -115,26 +115,26 @@
 
 func TestOutboxDropsWhenFullAndSurvivesAPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		books := newInHand()
+		work := newWorkTracker()
 		var sent, panics int
 		o := &outbox[int]{
-			ring: make(chan int, 2), atOnce: 1, books: books,
+			queue: make(chan int, 2), maxConcurrent: 1, work: work,
 			send: func(_ context.Context, n int) {
 				if sent++; n == 1 {
 					panic("send")
 				}
 			},
-			failed: func(any) { panics++ },
+			onPanic: func(any) { panics++ },
 		}
 		require.True(t, o.put(1))
 		require.True(t, o.put(2))
 		require.False(t, o.put(3), "a full ring drops")
-		require.Equal(t, 2, books.n)
-		books.drain()
+		require.Equal(t, 2, work.n)
+		work.drain()
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error)
 		go func() { ended <- o.run(ctx) }()
-		<-books.idle
+		<-work.idle
 		cancel()
 		require.NoError(t, <-ended)
 		require.Equal(t, 2, sent)
--- a/caller/fakes_test.go
+++ b/caller/fakes_test.go
@@ -245,7 +245,7 @@
 	return false
 }
 
-func (q *fakeQuarantine) Crashed(_ context.Context, c *record.Crash) {
+func (q *fakeQuarantine) ReportCrash(_ context.Context, c *record.Crash) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.crashes = append(q.crashes, c)
--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -20,8 +20,8 @@
 	f.Add(" 1", "+1", " TRUE ", strings.Repeat("k", 300))
 	s := &Server{opts: Options{Limits: Limits{}.withDefaults()}}
 	f.Fuzz(func(t *testing.T, timeout, priority, mark, key string) {
-		h := http.Header{HeaderTimeout: {timeout}, HeaderPriority: {priority}, HeaderNonIdempotent: {mark}, HeaderIdemKey: {key}}
-		w, p := s.parseWishes(h)
+		h := http.Header{HeaderTimeout: {timeout}, HeaderPriority: {priority}, HeaderNonIdempotent: {mark}, HeaderIdempotencyKey: {key}}
+		w, p := s.parseRequestOptions(h)
 		if p != nil {
 			require.Equal(t, api.OutcomeNotRun, p.Outcome)
 			require.Equal(t, http.StatusBadRequest, p.Status)
@@ -61,7 +61,7 @@
 		sent := serviceRequest(r, name, nil).Path
 		require.True(t, strings.HasPrefix(sent, "/"))
 		if strings.HasPrefix(strings.TrimLeft(sent, "/"), "orders") {
-			require.False(t, mayRepeat(http.MethodPut, below, cfg), "%q is sent as %q", path, sent)
+			require.False(t, isIdempotent(http.MethodPut, below, cfg), "%q is sent as %q", path, sent)
 		}
 	})
 }
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -15,14 +15,15 @@
 	"greengageferry/internal/stall"
 )
 
-// loadEvery is how often one stream hands on the load reports that ride on it:
-// they are averages over longer.
-const loadEvery = 100 * time.Millisecond
+// loadReportInterval is the least time between two load reports of one stream that
+// are passed to the scheduler. The reports average over a longer time.
+const loadReportInterval = 100 * time.Millisecond
 
-// StreamError says that an engine's stream broke its rules or was cut.
+// StreamError reports that an engine's stream violated the protocol or ended
+// early.
 type StreamError struct {
 	Fault string // "gap", "cut", "too_many_tokens", "unknown_finish"
-	Index int    // the index that was expected
+	Index int    // the expected token index
 }
 
 // Error implements error.
@@ -30,33 +31,33 @@
 	return fmt.Sprintf("engine stream: %s at token %d", e.Fault, e.Index)
 }
 
-// modelJob generates the answer to a model request.
+// modelJob is the job of a model request. It generates the answer at an engine.
 type modelJob struct {
-	server *Server
-	call   *call
-	sink   *sink
-	prompt string
-	seed   uint64
-	reply  reply
+	server   *Server
+	call     *call
+	response *response
+	prompt   string
+	seed     uint64
+	encoder  encoder
 
-	count  int      // tokens delivered
-	tokens []string // the same, kept only where a cut stream may be resumed
-	last   time.Time
+	count       int      // number of tokens written
+	tokens      []string // the tokens written; kept only if an interrupted stream may be resumed
+	lastTokenAt time.Time
 }
 
-// reply puts tokens into the form that the caller asked for.
-type reply interface {
+// encoder writes tokens in the form that the caller requested.
+type encoder interface {
 	token(token string) error
 	finish(f infra.Finish, tokens int) error
 	fail(p *api.Problem)
 }
 
-func (j *modelJob) fail(p *api.Problem) { j.reply.fail(p) }
+func (j *modelJob) fail(p *api.Problem) { j.encoder.fail(p) }
 
 func (j *modelJob) attempt(ctx context.Context, d decide.Decision) (decide.Outcome, *attemptError) {
-	a := &generation{job: j, id: newID(), server: d.Server, began: time.Now()}
+	a := &modelAttempt{job: j, id: newID(), server: d.Server, startedAt: time.Now()}
 	err := a.run(ctx, d)
-	o := decide.Outcome{Complete: err == nil, FirstToken: a.first, Total: time.Since(a.began), Tokens: a.tokens}
+	o := decide.Outcome{Complete: err == nil, FirstToken: a.timeToFirstToken, Total: time.Since(a.startedAt), Tokens: a.tokens}
 	if err == nil {
 		return o, nil
 	}
@@ -67,26 +68,26 @@
 	return o, err
 }
 
-// generation is one attempt at a model request.
-type generation struct {
-	job      *modelJob
-	id       string
-	server   decide.Server
-	began    time.Time
-	first    time.Duration // from began to the first token; 0: none came
-	tokens   int           // of this attempt
-	loadSent time.Time
+// modelAttempt is one attempt at a model request.
+type modelAttempt struct {
+	job              *modelJob
+	id               string
+	server           decide.Server
+	startedAt        time.Time
+	timeToFirstToken time.Duration // 0 if no token arrived
+	tokens           int           // received in this attempt
+	loadReportedAt   time.Time
 }
 
-func (a *generation) run(ctx context.Context, d decide.Decision) *attemptError {
-	dog := stall.Watch(ctx, a.job.call.firstLimit(a.began), a.job.call.idempotent)
-	defer dog.Stop()
-	return judge(dog.Context(), a.generate(dog, d))
+func (a *modelAttempt) run(ctx context.Context, d decide.Decision) *attemptError {
+	watchdog := stall.Watch(ctx, a.job.call.firstTokenTimeout(a.startedAt), a.job.call.idempotent)
+	defer watchdog.Stop()
+	return asStall(watchdog.Context(), a.generate(watchdog, d))
 }
 
-func (a *generation) generate(dog *stall.Watchdog, d decide.Decision) *attemptError {
+func (a *modelAttempt) generate(watchdog *stall.Watchdog, d decide.Decision) *attemptError {
 	j := a.job
-	stream, err := j.server.opts.Engine.Generate(dog.Context(), a.server.Addr, infra.GenerateRequest{
+	stream, err := j.server.opts.Engine.Generate(watchdog.Context(), a.server.Addr, infra.GenerateRequest{
 		Attempt:   a.id,
 		Model:     j.call.target.Model,
 		Adapter:   j.call.target.Adapter,
@@ -104,20 +105,20 @@
 	for {
 		e, err := stream.Recv()
 		if err != nil {
-			return a.broken(err)
+			return a.streamError(err)
 		}
-		dog.Disarm(j.call.stallLimit())
-		done, aerr := a.take(e)
+		watchdog.Disarm(j.call.tokenGapTimeout())
+		done, aerr := a.handleEvent(e)
 		if done || aerr != nil {
 			return aerr
 		}
-		dog.Arm()
+		watchdog.Arm()
 	}
 }
 
-// broken tells of a stream that ended without its end marker. That nothing ran
-// is believed only while no token has come.
-func (a *generation) broken(err error) *attemptError {
+// streamError returns the error of a stream that ended without its end marker.
+// Once a token has arrived, the effect is unknown even if the error says none.
+func (a *modelAttempt) streamError(err error) *attemptError {
 	if errors.Is(err, io.EOF) {
 		return a.fault("cut", infra.ReasonUnreachable)
 	}
@@ -128,15 +129,16 @@
 	return &attemptError{failure: f, err: err}
 }
 
-func (a *generation) fault(fault string, r infra.Reason) *attemptError {
+func (a *modelAttempt) fault(fault string, r infra.Reason) *attemptError {
 	return &attemptError{
 		failure: decide.Failure{Reason: r, Effect: infra.EffectUnknown},
 		err:     &StreamError{Fault: fault, Index: a.job.count},
 	}
 }
 
-// take takes one event in. done means that the answer is whole.
-func (a *generation) take(e infra.Event) (done bool, err *attemptError) {
+// handleEvent processes one event of the stream. done is true once the answer is
+// complete.
+func (a *modelAttempt) handleEvent(e infra.Event) (done bool, err *attemptError) {
 	j := a.job
 	if e.Attempt != a.id {
 		j.server.metrics.count("events_dropped.wrong_attempt")
@@ -152,38 +154,38 @@
 	case e.Finish != "":
 		return a.finish(e.Finish)
 	case e.Token == "":
-		return false, nil // only a load report
+		return false, nil // the event carries only a load report
 	case j.count >= j.call.maxTokens:
 		return false, a.fault("too_many_tokens", infra.ReasonProtocol)
 	}
 	return false, a.deliver(e.Token)
 }
 
-func (a *generation) finish(f infra.Finish) (bool, *attemptError) {
+func (a *modelAttempt) finish(f infra.Finish) (bool, *attemptError) {
 	if f != infra.FinishStop && f != infra.FinishLength {
 		return false, a.fault("unknown_finish", infra.ReasonProtocol)
 	}
-	if err := a.job.reply.finish(f, a.job.count); err != nil {
-		return false, asAttemptError(err)
+	if err := a.job.encoder.finish(f, a.job.count); err != nil {
+		return false, deliveryError(err)
 	}
 	return true, nil
 }
 
-func (a *generation) deliver(token string) *attemptError {
+func (a *modelAttempt) deliver(token string) *attemptError {
 	j := a.job
-	if err := j.reply.token(token); err != nil {
-		return asAttemptError(err)
+	if err := j.encoder.token(token); err != nil {
+		return deliveryError(err)
 	}
 	now := time.Now()
 	if j.count == 0 {
 		j.server.metrics.firstToken.record(now.Sub(j.call.arrived))
 	} else {
-		j.server.metrics.gap.record(now.Sub(j.last))
+		j.server.metrics.tokenGap.record(now.Sub(j.lastTokenAt))
 	}
 	if a.tokens == 0 {
-		a.first = now.Sub(a.began)
+		a.timeToFirstToken = now.Sub(a.startedAt)
 	}
-	j.last = now
+	j.lastTokenAt = now
 	j.count++
 	a.tokens++
 	if j.call.idempotent {
@@ -192,22 +194,23 @@
 	return nil
 }
 
-// reportLoad hands on the load report that rides on an event.
-func (a *generation) reportLoad(e infra.Event) {
+// reportLoad passes on the load report carried by an event.
+func (a *modelAttempt) reportLoad(e infra.Event) {
 	if e.Load == nil {
 		return
 	}
 	now := time.Now()
-	if now.Sub(a.loadSent) < loadEvery {
+	if now.Sub(a.loadReportedAt) < loadReportInterval {
 		return
 	}
-	a.loadSent = now
-	a.job.server.Reported(a.server.ID, *e.Load, 0)
-	a.job.server.opts.Observer.Reported(a.server.ID, *e.Load)
+	a.loadReportedAt = now
+	a.job.server.ReportLoad(a.server.ID, *e.Load, 0)
+	a.job.server.opts.Observer.ReportLoad(a.server.ID, *e.Load)
 }
 
-// asAttemptError tells of an answer that could not be handed to its caller.
-func asAttemptError(err error) *attemptError {
+// deliveryError returns the error of an answer that could not be delivered to its
+// caller.
+func deliveryError(err error) *attemptError {
 	e := &attemptError{
 		failure: decide.Failure{Reason: infra.ReasonCanceled, Effect: infra.EffectUnknown},
 		err:     err,
@@ -217,48 +220,48 @@
 		e.final = p
 		return e
 	}
-	e.gone = true
+	e.disconnected = true
 	return e
 }
 
-// wholeReply gathers the tokens of an answer that isn't streamed.
-type wholeReply struct {
-	sink *sink
-	head api.Head
-	text strings.Builder
-	most int // bytes
+// bufferedEncoder collects the tokens of an answer that is not streamed.
+type bufferedEncoder struct {
+	response *response
+	head     api.Head
+	text     strings.Builder
+	maxBytes int // of text
 }
 
-func (r *wholeReply) token(token string) error {
-	if r.text.Len()+len(token) > r.most {
-		return r.sink.call.tooLarge()
+func (r *bufferedEncoder) token(token string) error {
+	if r.text.Len()+len(token) > r.maxBytes {
+		return r.response.call.answerTooLargeProblem()
 	}
 	r.text.WriteString(token)
 	return nil
 }
 
-func (r *wholeReply) finish(f infra.Finish, tokens int) error {
+func (r *bufferedEncoder) finish(f infra.Finish, tokens int) error {
 	body := r.head.Whole(r.text.String(), string(f), tokens)
-	r.sink.start(http.StatusOK, contentJSON)
-	return r.sink.write(body)
+	r.response.writeHeader(http.StatusOK, contentJSON)
+	return r.response.write(body)
 }
 
-func (r *wholeReply) fail(p *api.Problem) { r.sink.problem(p) }
+func (r *bufferedEncoder) fail(p *api.Problem) { r.response.problem(p) }
 
-// streamReply sends each token at once, as a server-sent event.
-type streamReply struct {
-	sink   *sink
-	events *api.Events
-	usage  bool // tell the token counts
+// streamEncoder sends each token immediately, as a server-sent event.
+type streamEncoder struct {
+	response     *response
+	events       *api.Events
+	includeUsage bool // send the token counts in a last chunk
 }
 
-func (r *streamReply) token(token string) error { return r.send(r.events.Token(token)) }
+func (r *streamEncoder) token(token string) error { return r.send(r.events.Token(token)) }
 
-func (r *streamReply) finish(f infra.Finish, tokens int) error {
+func (r *streamEncoder) finish(f infra.Finish, tokens int) error {
 	if err := r.write(r.events.Finish(string(f))); err != nil {
 		return err
 	}
-	if r.usage {
+	if r.includeUsage {
 		if err := r.write(r.events.Usage(tokens)); err != nil {
 			return err
 		}
@@ -266,26 +269,26 @@
 	return r.send([]byte(api.Done))
 }
 
-// fail ends a stream that has begun with an error event, so that it can't be
-// taken for a whole one.
-func (r *streamReply) fail(p *api.Problem) {
-	if !r.sink.started {
-		r.sink.problem(p)
+// fail ends a stream that has started with an error event, so that it cannot be
+// mistaken for a complete one.
+func (r *streamEncoder) fail(p *api.Problem) {
+	if !r.response.started {
+		r.response.problem(p)
 		return
 	}
-	_ = r.send(r.events.Problem(p, r.sink.call.id)) // a caller that is gone needs no answer
+	_ = r.send(r.events.Problem(p, r.response.call.id)) // a disconnected caller needs no answer
 }
 
-func (r *streamReply) send(b []byte) error {
+func (r *streamEncoder) send(b []byte) error {
 	if err := r.write(b); err != nil {
 		return err
 	}
-	return r.sink.flush()
+	return r.response.flush()
 }
 
-func (r *streamReply) write(b []byte) error {
-	if !r.sink.started {
-		r.sink.start(http.StatusOK, contentEvents)
+func (r *streamEncoder) write(b []byte) error {
+	if !r.response.started {
+		r.response.writeHeader(http.StatusOK, contentEvents)
 	}
-	return r.sink.write(b)
+	return r.response.write(b)
 }
--- a/caller/headers.go
+++ b/caller/headers.go
@@ -11,58 +11,58 @@
 
 // The headers of the callers' interface.
 const (
-	HeaderTimeout       = "Greengageferry-Timeout-Ms"     // the request's deadline, in ms from its arrival
-	HeaderPriority      = "Greengageferry-Priority"       // MinPriority to MaxPriority; higher goes first
-	HeaderNonIdempotent = "Greengageferry-Non-Idempotent" // "true": the request may run at most once
-	HeaderIdemKey       = "Idempotency-Key"
-	HeaderRequest       = "Greengageferry-Request-Id"
-	HeaderDomain        = "Greengageferry-Failure-Domain" // the server's; this instance's where none was asked
-	HeaderServer        = "Greengageferry-Server"         // the last server asked, or NoServer
-	HeaderReplayed      = "Greengageferry-Replayed"       // "true": the answer of an earlier request with the same key
+	HeaderTimeout        = "Greengageferry-Timeout-Ms"     // the request's timeout, in ms from its arrival
+	HeaderPriority       = "Greengageferry-Priority"       // MinPriority to MaxPriority; higher is served first
+	HeaderNonIdempotent  = "Greengageferry-Non-Idempotent" // "true": the request may run at most once
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderRequest        = "Greengageferry-Request-Id"
+	HeaderDomain         = "Greengageferry-Failure-Domain" // the server's, or this instance's if no attempt was made
+	HeaderServer         = "Greengageferry-Server"         // the server of the last attempt, or NoServer
+	HeaderReplayed       = "Greengageferry-Replayed"       // "true": the answer is that of an earlier request with the same key
 )
 
-// NoServer stands in HeaderServer where no backend server was asked.
+// NoServer is the value of HeaderServer if no attempt was made.
 const NoServer = "none"
 
-// Bounds of what the headers may say.
+// Bounds of header values.
 const (
 	MinPriority = -10
 	MaxPriority = 10
-	// maxIdemKey holds any UUID or hash, with room for a prefix.
-	maxIdemKey = 255
+	// maxIdempotencyKeyBytes fits any UUID or hash with a prefix.
+	maxIdempotencyKeyBytes = 255
 )
 
-// wishes are what a request's headers ask for.
-type wishes struct {
-	timeout       time.Duration // 0: the target's default
+// requestOptions are the options given in a request's headers.
+type requestOptions struct {
+	timeout       time.Duration // 0 for the target's default
 	priority      int
 	nonIdempotent bool
-	key           string // Idempotency-Key; empty: none
+	key           string // empty if there is none
 }
 
-func (s *Server) parseWishes(h http.Header) (wishes, *api.Problem) {
-	var w wishes
+func (s *Server) parseRequestOptions(h http.Header) (requestOptions, *api.Problem) {
+	var o requestOptions
 	var p *api.Problem
-	if w.timeout, p = parseTimeout(h.Get(HeaderTimeout), s.opts.Limits.MaxTimeout); p != nil {
-		return w, p
+	if o.timeout, p = parseTimeout(h.Get(HeaderTimeout), s.opts.Limits.MaxTimeout); p != nil {
+		return o, p
 	}
-	if w.priority, p = parsePriority(h.Get(HeaderPriority)); p != nil {
-		return w, p
+	if o.priority, p = parsePriority(h.Get(HeaderPriority)); p != nil {
+		return o, p
 	}
-	if w.nonIdempotent, p = parseMark(h.Get(HeaderNonIdempotent)); p != nil {
-		return w, p
+	if o.nonIdempotent, p = parseNonIdempotent(h.Get(HeaderNonIdempotent)); p != nil {
+		return o, p
 	}
-	w.key, p = parseIdemKey(h)
-	return w, p
+	o.key, p = parseIdempotencyKey(h)
+	return o, p
 }
 
-func parseTimeout(v string, most time.Duration) (time.Duration, *api.Problem) {
+func parseTimeout(v string, limit time.Duration) (time.Duration, *api.Problem) {
 	if v == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseInt(v, 10, 64)
-	if err != nil || ms < 1 || ms > most.Milliseconds() {
-		return 0, api.Invalid(CodeBadTimeout, "%s must be 1 to %d, in milliseconds", HeaderTimeout, most.Milliseconds())
+	if err != nil || ms < 1 || ms > limit.Milliseconds() {
+		return 0, api.Invalid(CodeBadTimeout, "%s must be 1 to %d, in milliseconds", HeaderTimeout, limit.Milliseconds())
 	}
 	return time.Duration(ms) * time.Millisecond, nil
 }
@@ -78,9 +78,10 @@
 	return n, nil
 }
 
-// parseMark refuses what is neither true nor false: a mark that was meant must
-// not be lost.
-func parseMark(v string) (bool, *api.Problem) {
+// parseNonIdempotent parses the non-idempotent header. Any value other than true
+// or false is refused, since ignoring a mistyped "true" could run the request
+// twice.
+func parseNonIdempotent(v string) (bool, *api.Problem) {
 	switch strings.ToLower(strings.TrimSpace(v)) {
 	case "":
 		return false, nil
@@ -89,16 +90,16 @@
 	case "false":
 		return false, nil
 	}
-	return false, api.Invalid(CodeBadMark, "%s must be true or false", HeaderNonIdempotent)
+	return false, api.Invalid(CodeBadNonIdempotent, "%s must be true or false", HeaderNonIdempotent)
 }
 
-func parseIdemKey(h http.Header) (string, *api.Problem) {
-	values, present := h[HeaderIdemKey]
+func parseIdempotencyKey(h http.Header) (string, *api.Problem) {
+	values, present := h[HeaderIdempotencyKey]
 	if !present {
 		return "", nil
 	}
-	if len(values) != 1 || values[0] == "" || len(values[0]) > maxIdemKey {
-		return "", api.Invalid(CodeBadIdemKey, "%s must be given once, with 1 to %d bytes", HeaderIdemKey, maxIdemKey)
+	if len(values) != 1 || values[0] == "" || len(values[0]) > maxIdempotencyKeyBytes {
+		return "", api.Invalid(CodeBadIdempotencyKey, "%s must be given once, with 1 to %d bytes", HeaderIdempotencyKey, maxIdempotencyKeyBytes)
 	}
 	return values[0], nil
 }
--- a/caller/http.go
+++ b/caller/http.go
@@ -24,26 +24,27 @@
 	pathServices    = "/services/"
 )
 
-// Limits of the callers' HTTP server. Slow headers end the connection without
-// an answer, as net/http does; all else is answered.
+// Limits of the callers' HTTP server. If a header arrives too slowly, net/http
+// closes the connection without an answer; all other requests are answered.
 const (
-	// HeaderTime is the time in which a request's header must arrive.
-	HeaderTime = 5 * time.Second
-	// IdleTime is how long a connection may wait for its next request: longer
-	// than a balancer's usual 60 s, so that it is the balancer that closes.
-	IdleTime = 90 * time.Second
-	// HeaderBytes holds any header of this interface many times over.
-	HeaderBytes = 16 << 10
+	// HeaderReadTimeout is the time within which a request's header must arrive.
+	HeaderReadTimeout = 5 * time.Second
+	// KeepAliveTimeout is how long a connection may wait for its next request. It is
+	// longer than a load balancer's usual 60 s, so that the balancer closes first.
+	KeepAliveTimeout = 90 * time.Second
+	// HeaderSizeLimit is many times the largest header of this interface.
+	HeaderSizeLimit = 16 << 10
 )
 
-// Configure sets the limits of an HTTP server that serves the handler.
-func Configure(h *http.Server) {
-	h.ReadHeaderTimeout = HeaderTime
-	h.IdleTimeout = IdleTime
-	h.MaxHeaderBytes = HeaderBytes
+// ConfigureHTTPServer sets the timeouts and limits of a server for Handler.
+func ConfigureHTTPServer(h *http.Server) {
+	h.ReadHeaderTimeout = HeaderReadTimeout
+	h.IdleTimeout = KeepAliveTimeout
+	h.MaxHeaderBytes = HeaderSizeLimit
 }
 
-// serve answers one request. Whatever happens, it is answered in a typed form.
+// serve answers one request. Every failure, a panic included, is answered with a
+// typed problem.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
 	c := &call{
@@ -51,76 +52,76 @@
 		arrived:    now,
 		deadline:   now.Add(s.opts.Limits.MaxTimeout),
 		idempotent: true,
-		decisions:  make(chan decide.Decision, decisionsHeld),
-	}
-	k := s.newSink(w, c)
-	k.unread = r.ContentLength != 0
-	if p := s.enter(); p != nil {
-		w.Header().Set("Connection", "close") // so that the balancer finds another instance
-		k.problem(p)
-		s.conclude(c, p)
+		decisions:  make(chan decide.Decision, decisionBuffer),
+	}
+	rw := s.newResponse(w, c)
+	rw.bodyUnread = r.ContentLength != 0
+	if p := s.admit(); p != nil {
+		w.Header().Set("Connection", "close") // so that the load balancer selects another instance
+		rw.problem(p)
+		s.logEnd(c, p)
 		return
 	}
-	defer s.inHand.leave()
-	defer s.recoverServe(c, k)
-	// A connection's later requests must not meet this one's deadline.
-	defer func() { _ = k.rc.SetWriteDeadline(time.Time{}) }()
-	p := s.route(k, c, r)
-	if p != nil && !k.started {
-		k.problem(p)
+	defer s.workTracker.done()
+	defer s.recoverHandler(c, rw)
+	// The write deadline must not apply to later requests on the connection.
+	defer func() { _ = rw.rc.SetWriteDeadline(time.Time{}) }()
+	p := s.route(rw, c, r)
+	if p != nil && !rw.started {
+		rw.problem(p)
 	}
-	s.conclude(c, p)
-	if k.broken {
+	s.logEnd(c, p)
+	if rw.mustAbort {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// enter takes a request in hand.
-func (s *Server) enter() *api.Problem {
-	switch s.inHand.enter(s.opts.Limits.Requests) {
+// admit counts a request in flight, or returns the problem of a refused one.
+func (s *Server) admit() *api.Problem {
+	switch s.workTracker.admit(s.opts.Limits.ConcurrentRequests) {
 	case shuttingDown:
-		return notRunYet(string(decide.ReasonShuttingDown), "the instance is shutting down", soon)
-	case tooMany:
-		return notRunYet(CodeTooMany, "the instance has too many requests in hand", soon)
+		return unavailable(string(decide.ReasonShuttingDown), "the instance is shutting down", shortRetryAfter)
+	case tooManyRequests:
+		return unavailable(CodeTooManyRequests, "the instance has too many requests in hand", shortRetryAfter)
 	}
 	return nil
 }
 
-// recoverServe answers for a handler that panicked outside a run.
-func (s *Server) recoverServe(c *call, k *sink) {
+// recoverHandler answers a request whose handler panicked outside of run.
+func (s *Server) recoverHandler(c *call, rw *response) {
 	v := recover()
 	if v == nil {
 		return
 	}
 	if v == http.ErrAbortHandler {
-		panic(v) // meant: the answer must not look whole
+		panic(v) // intentional: a truncated answer must not look complete
 	}
 	s.opts.Log.WithFields(logrus.Fields{"request": c.id, "panic": v, "stack": string(debug.Stack())}).Error("handler panicked")
-	if k.started {
+	if rw.started {
 		panic(http.ErrAbortHandler)
 	}
-	p := c.problem(http.StatusInternalServerError, api.TypeServer, CodeInternal, "an internal fault", soon)
-	k.problem(p)
-	s.conclude(c, p)
+	p := c.problem(http.StatusInternalServerError, api.TypeServer, CodeInternal, "an internal fault", shortRetryAfter)
+	rw.problem(p)
+	s.logEnd(c, p)
 }
 
-// route finds what the request is for. It returns the problem to tell, or that
-// was told.
-func (s *Server) route(k *sink, c *call, r *http.Request) *api.Problem {
-	who, p := s.authenticate(r)
+// route authenticates the request and passes it to the handler of its path. It
+// returns the request's problem, which may already have been written, or nil.
+func (s *Server) route(rw *response, c *call, r *http.Request) *api.Problem {
+	sender, p := s.authenticate(r)
 	if p != nil {
 		return p
 	}
-	c.who = who
+	c.sender = sender
 	switch path := r.URL.Path; {
 	case path == pathModels:
-		return s.serveModels(k, c, r)
+		return s.serveModels(rw, c, r)
 	case path == pathCompletions:
-		return s.serveModel(k, c, r, api.Completion)
+		return s.serveModel(rw, c, r, api.Completion)
 	case path == pathChat:
-		return s.serveModel(k, c, r, api.Chat)
+		return s.serveModel(rw, c, r, api.Chat)
 	case strings.HasPrefix(path, pathServices):
-		return s.serveService(k, c, r)
+		return s.serveService(rw, c, r)
 	}
 	return &api.Problem{
 		Status:  http.StatusNotFound,
@@ -131,30 +132,30 @@
 	}
 }
 
-// readBody reads a request's body within its limits of size and time.
-func (s *Server) readBody(k *sink, r *http.Request) ([]byte, *api.Problem) {
+// readBody reads a request's body within the limits of size and time.
+func (s *Server) readBody(rw *response, r *http.Request) ([]byte, *api.Problem) {
 	limits := s.opts.Limits
 	if r.ContentLength > int64(limits.BodyBytes) {
 		return nil, bodyTooLarge()
 	}
-	_ = k.rc.SetReadDeadline(time.Now().Add(limits.BodyTime)) // not all connections have one
-	body, err := readAll(http.MaxBytesReader(k.w, r.Body, int64(limits.BodyBytes)), r.ContentLength)
+	_ = rw.rc.SetReadDeadline(time.Now().Add(limits.BodyReadTimeout)) // not all connections support deadlines
+	body, err := readAll(http.MaxBytesReader(rw.w, r.Body, int64(limits.BodyBytes)), r.ContentLength)
 	if err != nil {
-		return nil, bodyProblem(err)
+		return nil, bodyReadProblem(err)
 	}
-	k.unread = false
-	// The server reads on to notice that the caller leaves: without a limit.
-	_ = k.rc.SetReadDeadline(time.Time{})
+	rw.bodyUnread = false
+	// net/http keeps reading to detect a disconnect, which needs no deadline.
+	_ = rw.rc.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
-// trustedLength is how much room is made for a body before any of it has come:
-// a length that is only claimed must not take memory.
-const trustedLength = 64 << 10
+// maxPreallocatedBytes limits the buffer allocated before a body arrives: a
+// declared Content-Length alone must not consume memory.
+const maxPreallocatedBytes = 64 << 10
 
-// readAll reads all of r, which is said to hold length bytes (-1: unknown).
+// readAll reads all of r. length is the declared Content-Length, -1 if unknown.
 func readAll(r io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > trustedLength {
+	if length < 0 || length > maxPreallocatedBytes {
 		return io.ReadAll(r)
 	}
 	body := make([]byte, length)
@@ -166,21 +167,21 @@
 	return invalid(http.StatusRequestEntityTooLarge, CodeBodyTooLarge, "the body is too large")
 }
 
-func bodyProblem(err error) *api.Problem {
+func bodyReadProblem(err error) *api.Problem {
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return bodyTooLarge()
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return invalid(http.StatusRequestTimeout, CodeBodySlow, "the body took too long to arrive")
+		return invalid(http.StatusRequestTimeout, CodeBodyTooSlow, "the body took too long to arrive")
 	}
 	return invalid(http.StatusBadRequest, CodeBodyBroken, "the body could not be read")
 }
 
-// within returns the context that a call runs in, and its caller's. Both end at
-// the call's deadline; the caller's ends when it leaves, and so does the call's
-// unless the call is claimed.
-func within(r *http.Request, c *call, isClaimed bool) (ctx, callerCtx context.Context, cancel func()) {
+// callContexts returns the context in which a call runs and the context of the
+// connection to its caller. Both end at the call's deadline. callerCtx also ends
+// when the caller disconnects, and so does ctx unless the call is claimed.
+func callContexts(r *http.Request, c *call, isClaimed bool) (ctx, callerCtx context.Context, cancel func()) {
 	callerCtx, cancelCaller := context.WithDeadline(r.Context(), c.deadline)
 	if !isClaimed {
 		return callerCtx, callerCtx, cancelCaller
--- a/caller/identity.go
+++ b/caller/identity.go
@@ -12,44 +12,44 @@
 	"greengageferry/config"
 )
 
-// identity is who sent a request.
+// identity is the authenticated sender of a request.
 type identity struct {
-	caller  string // its name in the configuration
-	partner string
+	caller  string // the client account's name in the configuration
+	partner string // the partner that owns the account
 }
 
-type knownKey struct {
+type callerKey struct {
 	digest [sha256.Size]byte
-	who    identity
+	sender identity
 }
 
-// keyring holds the callers' key digests of one configuration.
+// keyring holds the key digests of the client accounts of one configuration.
 type keyring struct {
-	of   *config.Config
-	keys []knownKey
+	cfg  *config.Config
+	keys []callerKey
 }
 
-// keyrings builds a keyring for each configuration once.
-type keyrings struct{ last atomic.Pointer[keyring] }
+// keyrings caches the keyring of the newest configuration.
+type keyrings struct{ current atomic.Pointer[keyring] }
 
 func (k *keyrings) get(c *config.Config) *keyring {
-	if r := k.last.Load(); r != nil && r.of == c {
+	if r := k.current.Load(); r != nil && r.cfg == c {
 		return r
 	}
-	r := &keyring{of: c}
+	r := &keyring{cfg: c}
 	for name, caller := range c.Callers {
 		digest, err := hex.DecodeString(caller.KeySHA256)
 		if err != nil || len(digest) != sha256.Size {
-			continue // such a caller has no key that opens
+			continue // such an account has no valid key
 		}
-		r.keys = append(r.keys, knownKey{[sha256.Size]byte(digest), identity{name, caller.Owner}})
+		r.keys = append(r.keys, callerKey{[sha256.Size]byte(digest), identity{name, caller.Owner}})
 	}
-	k.last.Store(r)
+	k.current.Store(r)
 	return r
 }
 
-// find compares the key with every known one, each in constant time, so that
-// the time taken tells nothing about the key.
+// find returns the identity that the key belongs to. It compares the key with
+// every known one in constant time, so that timing reveals nothing about keys.
 func (r *keyring) find(key string) (identity, bool) {
 	digest := sha256.Sum256([]byte(key))
 	found := -1
@@ -61,24 +61,24 @@
 	if found < 0 {
 		return identity{}, false
 	}
-	return r.keys[found].who, true
+	return r.keys[found].sender, true
 }
 
-// authenticate returns who sent the request.
+// authenticate returns the identity of the request's sender.
 func (s *Server) authenticate(r *http.Request) (identity, *api.Problem) {
 	cfg := s.opts.Directory.Config()
 	if cfg == nil || s.table.Load() == nil {
-		return identity{}, notRunYet(CodeNotReady, "the instance doesn't know the configuration yet", soon)
+		return identity{}, unavailable(CodeNotReady, "the instance doesn't know the configuration yet", shortRetryAfter)
 	}
 	scheme, key, _ := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !strings.EqualFold(scheme, "Bearer") || key == "" {
 		return identity{}, authProblem(CodeNoKey, "the header Authorization: Bearer with a key is missing")
 	}
-	who, ok := s.keyrings.get(cfg).find(strings.TrimSpace(key))
+	sender, ok := s.keyrings.get(cfg).find(strings.TrimSpace(key))
 	if !ok {
 		return identity{}, authProblem(CodeWrongKey, "the key is not known")
 	}
-	return who, nil
+	return sender, nil
 }
 
 func authProblem(code, message string) *api.Problem {
--- a/caller/kept.go
+++ b/caller/kept.go
@@ -7,107 +7,110 @@
 	"greengageferry/claims"
 )
 
-// keptOverhead is what one kept answer takes beside its body, in bytes: its
-// strings, its place in the map and in the order.
-const keptOverhead = 512
+// cacheEntryOverhead is the memory of one entry beyond the answer's body, in bytes:
+// its strings and its places in the map and the list.
+const cacheEntryOverhead = 512
 
-// kept holds the answers to claimed requests, so that a resend through any
-// instance gets the very same one. It is bounded by bytes and by claims.Window;
-// the oldest finished answer goes first. A running one is never dropped.
-type kept struct {
-	mu    sync.Mutex
-	most  int // bytes of finished answers
-	each  int // bytes of one answer's body
-	bytes int
-	runs  map[string]*keptRun // by attempt
-	order []*keptRun          // finished ones, oldest first
+// answerCache stores the answers to claimed requests, so that a later request with
+// the same key receives the same answer through any instance. It is limited in bytes
+// and by the age claims.Window; the oldest finished answer is evicted first. An
+// entry of a running attempt is never evicted.
+type answerCache struct {
+	mu            sync.Mutex
+	maxBytes      int                    // of all finished entries
+	maxBodyBytes  int                    // of one answer's body
+	bytes         int                    // of all finished entries, with their overhead
+	entries       map[string]*cacheEntry // by attempt
+	evictionOrder []*cacheEntry          // oldest first
 }
 
-type keptRun struct {
+type cacheEntry struct {
 	attempt  string
 	answer   Answer
-	lost     bool // finished without an answer that could be kept
+	lost     bool // finished without an answer that can be stored
 	finished time.Time
 	done     chan struct{} // closed once finished
 }
 
-func newKept(most, each int) *kept {
-	return &kept{most: most, each: each, runs: map[string]*keptRun{}}
+func newAnswerCache(maxBytes, maxBodyBytes int) *answerCache {
+	return &answerCache{maxBytes: maxBytes, maxBodyBytes: maxBodyBytes, entries: map[string]*cacheEntry{}}
 }
 
-// begin says that the claimed attempt runs from now on.
-func (k *kept) begin(attempt string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.runs[attempt] = &keptRun{attempt: attempt, done: make(chan struct{})}
+// begin adds an entry for a claimed attempt that starts to run.
+func (c *answerCache) begin(attempt string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.entries[attempt] = &cacheEntry{attempt: attempt, done: make(chan struct{})}
 }
 
-// forget drops an attempt that was never granted.
-func (k *kept) forget(attempt string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if r := k.runs[attempt]; r != nil {
-		close(r.done)
-		delete(k.runs, attempt)
+// forget removes an attempt whose claim was not granted.
+func (c *answerCache) forget(attempt string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if e := c.entries[attempt]; e != nil {
+		close(e.done)
+		delete(c.entries, attempt)
 	}
 }
 
-// finish keeps the attempt's answer. Without one, resends learn that it is lost.
-func (k *kept) finish(attempt string, a Answer, ok bool) {
+// finish stores the attempt's answer. If ok is false, or the answer is too large,
+// the answer is marked as lost.
+func (c *answerCache) finish(attempt string, a Answer, ok bool) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	r := k.runs[attempt]
-	if r == nil || !r.finished.IsZero() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	e := c.entries[attempt]
+	if e == nil || !e.finished.IsZero() {
 		return
 	}
-	r.finished = now
-	r.lost = !ok || len(a.Body) > k.each
-	if !r.lost {
-		r.answer = a
+	e.finished = now
+	e.lost = !ok || len(a.Body) > c.maxBodyBytes
+	if !e.lost {
+		e.answer = a
 	}
-	close(r.done)
-	k.order = append(k.order, r)
-	k.bytes += r.size()
-	k.evict(now)
+	close(e.done)
+	c.evictionOrder = append(c.evictionOrder, e)
+	c.bytes += e.size()
+	c.evict(now)
 }
 
-func (r *keptRun) size() int { return len(r.answer.Body) + keptOverhead }
+func (e *cacheEntry) size() int { return len(e.answer.Body) + cacheEntryOverhead }
 
-// evict drops the oldest answers while they are too old or too many. The lock
-// is held.
-func (k *kept) evict(now time.Time) {
-	for len(k.order) > 0 {
-		oldest := k.order[0]
-		if k.bytes <= k.most && now.Sub(oldest.finished) < claims.Window {
+// evict removes the oldest answers while they exceed the age or the total size. The
+// caller holds the lock.
+func (c *answerCache) evict(now time.Time) {
+	for len(c.evictionOrder) > 0 {
+		oldest := c.evictionOrder[0]
+		if c.bytes <= c.maxBytes && now.Sub(oldest.finished) < claims.Window {
 			return
 		}
-		k.order[0] = nil
-		k.order = k.order[1:]
-		k.bytes -= oldest.size()
-		delete(k.runs, oldest.attempt)
+		c.evictionOrder[0] = nil
+		c.evictionOrder = c.evictionOrder[1:]
+		c.bytes -= oldest.size()
+		delete(c.entries, oldest.attempt)
 	}
 }
 
-// get returns the attempt's answer as far as it is known. done is closed once
-// it is finished; it is nil if the attempt isn't known.
-func (k *kept) get(attempt string) (a Answer, finished, found bool, done <-chan struct{}) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.evict(time.Now())
-	r := k.runs[attempt]
-	if r == nil {
+// get returns the attempt's answer if it is stored. finished is false while the
+// attempt runs; found is false if the attempt is unknown or its answer is lost. done
+// is closed once the attempt is finished, and nil if it is unknown.
+func (c *answerCache) get(attempt string) (a Answer, finished, found bool, done <-chan struct{}) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evict(time.Now())
+	e := c.entries[attempt]
+	if e == nil {
 		return Answer{}, false, false, nil
 	}
-	if r.finished.IsZero() {
-		return Answer{}, false, true, r.done
+	if e.finished.IsZero() {
+		return Answer{}, false, true, e.done
 	}
-	return r.answer, true, !r.lost, r.done
+	return e.answer, true, !e.lost, e.done
 }
 
-// AnswerFor returns the answer that this instance gave to a claimed request, by
-// the claim's attempt. finished is false while it runs; found is false if the
-// answer is not known here, or no longer.
+// AnswerFor returns the answer that this instance gave to the claimed attempt.
+// finished is false while the attempt runs; found is false if the answer is not
+// stored here, or not any more.
 func (s *Server) AnswerFor(attempt string) (a Answer, finished, found bool) {
 	a, finished, found, _ = s.answers.get(attempt)
 	return a, finished, found
--- a/caller/keyed.go
+++ b/caller/keyed.go
@@ -16,18 +16,19 @@
 )
 
 const (
-	// fetchFirst and fetchMost bound the wait between two questions for the
-	// first's answer: short beside an answer's seconds, and few for an instance
-	// that many resends ask.
-	fetchFirst = 50 * time.Millisecond
-	fetchMost  = time.Second
-	// fetchTries is how often in a row a holder may not answer before its
-	// answer counts as lost.
-	fetchTries = 3
+	// minFetchInterval and maxFetchInterval bound the exponential backoff between
+	// two queries for the first request's answer. It starts short relative to an
+	// answer's seconds, and grows to limit the load on an instance that many
+	// duplicates query.
+	minFetchInterval = 50 * time.Millisecond
+	maxFetchInterval = time.Second
+	// maxFetchFailures is the number of consecutive failed queries after which the
+	// first request's answer counts as lost.
+	maxFetchFailures = 3
 )
 
-// digest returns the SHA-256 of the parts, each with its length before it, so
-// that no two lists of parts look alike.
+// digest returns the SHA-256 of the parts, each prefixed with its length, so that
+// different lists of parts never have the same encoding.
 func digest(parts ...[]byte) [sha256.Size]byte {
 	h := sha256.New()
 	for _, p := range parts {
@@ -43,130 +44,131 @@
 	h.Write(p)
 }
 
-// claimed is a request that must be claimed before it may run.
-type claimed struct {
+// claimRequest describes a request that must be claimed before it may run.
+type claimRequest struct {
 	key         string   // the caller's Idempotency-Key
 	fingerprint [32]byte // of partner, path and canonical body
-	attempt     string   // the claim's attempt: names this run to resends
+	attempt     string   // identifies this run to later requests with the same key
 }
 
-// serveClaimed claims the request, and runs it or answers with the first's
-// answer. ctx does not end when the caller leaves: its resend shall find the
-// answer.
-func (s *Server) serveClaimed(ctx, callerCtx context.Context, c *call, k *sink, j job, cl claimed) *api.Problem {
-	key := digest([]byte(c.who.partner), []byte(c.who.caller), []byte(cl.key))
-	cl.attempt = newID()
-	s.answers.begin(cl.attempt)                         // before the claim: a resend may find it first
-	defer s.answers.finish(cl.attempt, Answer{}, false) // after a panic: resends learn that it is lost
-	st, err := s.opts.Claimer.Claim(ctx, &record.Claim{
+// serveClaimed claims the request. If the claim is granted, it runs the request;
+// if an earlier request holds the key, it replays that request's answer. ctx does
+// not end when the caller disconnects, so that a retry finds the answer; callerCtx
+// does.
+func (s *Server) serveClaimed(ctx, callerCtx context.Context, c *call, rw *response, j job, claim claimRequest) *api.Problem {
+	key := digest([]byte(c.sender.partner), []byte(c.sender.caller), []byte(claim.key))
+	claim.attempt = newID()
+	s.answers.begin(claim.attempt)                         // before the claim, since a duplicate may query it as soon as the claim is known
+	defer s.answers.finish(claim.attempt, Answer{}, false) // has an effect only after a panic: marks the answer as lost
+	standing, err := s.opts.Claimer.Claim(ctx, &record.Claim{
 		Key:         key[:],
-		Fingerprint: cl.fingerprint[:],
+		Fingerprint: claim.fingerprint[:],
 		Instance:    s.opts.Instance,
-		Attempt:     cl.attempt,
+		Attempt:     claim.attempt,
 		Request:     c.id,
 	})
-	s.logClaim(c, cl, st, err)
-	switch st.Verdict {
+	s.logClaim(c, claim, standing, err)
+	switch standing.Verdict {
 	case claims.Granted:
-		return s.runClaimed(ctx, c, k, j, cl, key)
+		return s.runClaimed(ctx, c, rw, j, claim, key)
 	case claims.Taken:
-		s.answers.forget(cl.attempt)
-		return s.replay(callerCtx, c, k, st)
+		s.answers.forget(claim.attempt)
+		return s.replay(callerCtx, c, rw, standing)
 	case claims.Conflict:
-		s.answers.forget(cl.attempt)
+		s.answers.forget(claim.attempt)
 		p := invalid(http.StatusUnprocessableEntity, CodeKeyReused, "the idempotency key was used for another request")
-		k.problem(p)
+		rw.problem(p)
 		return p
 	case claims.NotKept:
-		s.answers.forget(cl.attempt)
-		p := notRunYet(CodeClaimNotKept, "the log takes no claims now", afterOutage)
-		k.problem(p)
+		s.answers.forget(claim.attempt)
+		p := unavailable(CodeClaimNotKept, "the log takes no claims now", outageRetryAfter)
+		rw.problem(p)
 		return p
 	default:
-		p := notRunYet(CodeClaimUncertain, "it isn't known whether the log took the claim; the request did not run", afterOutage)
-		k.keep = true
-		k.problem(p)
-		s.finishClaimed(k, cl, key, p)
+		p := unavailable(CodeClaimUncertain, "it isn't known whether the log took the claim; the request did not run", outageRetryAfter)
+		rw.keepCopy = true
+		rw.problem(p)
+		s.finishClaimed(rw, claim, key, p)
 		return p
 	}
 }
 
-// runClaimed runs the request, the only one that may, and keeps its answer.
-func (s *Server) runClaimed(ctx context.Context, c *call, k *sink, j job, cl claimed, key [32]byte) *api.Problem {
-	k.keep = true
+// runClaimed runs the request whose claim was granted and stores its answer.
+func (s *Server) runClaimed(ctx context.Context, c *call, rw *response, j job, claim claimRequest, key [32]byte) *api.Problem {
+	rw.keepCopy = true
 	p := s.run(ctx, c, j)
 	if p != nil {
 		j.fail(p)
 	}
-	s.finishClaimed(k, cl, key, p)
+	s.finishClaimed(rw, claim, key, p)
 	return p
 }
 
-// finishClaimed keeps the answer and tells the log how the run ended.
-func (s *Server) finishClaimed(k *sink, cl claimed, key [32]byte, p *api.Problem) {
-	a, ok := k.answer()
-	s.answers.finish(cl.attempt, a, ok)
+// finishClaimed stores the answer and reports the outcome to the log.
+func (s *Server) finishClaimed(rw *response, claim claimRequest, key [32]byte, p *api.Problem) {
+	a, ok := rw.answerCopy()
+	s.answers.finish(claim.attempt, a, ok)
 	outcome := record.ClaimResult_COMPLETE
 	if p != nil && p.Outcome == api.OutcomeNotRun {
 		outcome = record.ClaimResult_NOT_RUN
 	} else if p != nil {
 		outcome = record.ClaimResult_UNKNOWN
 	}
-	s.report(&record.ClaimResult{Key: key[:], Attempt: cl.attempt, Outcome: outcome})
+	s.reportResult(&record.ClaimResult{Key: key[:], Attempt: claim.attempt, Outcome: outcome})
 }
 
-// replay answers with the first's answer, once there is one.
-func (s *Server) replay(ctx context.Context, c *call, k *sink, st claims.Standing) *api.Problem {
-	a, p := s.firstAnswer(ctx, c, st)
+// replay waits for the first request's answer and sends it.
+func (s *Server) replay(ctx context.Context, c *call, rw *response, standing claims.Standing) *api.Problem {
+	a, p := s.awaitFirstAnswer(ctx, c, standing)
 	if p != nil {
-		k.problem(p)
+		rw.problem(p)
 		return p
 	}
 	c.replayed = true
-	k.replay(a)
+	rw.replay(a)
 	return nil
 }
 
-// firstAnswer waits for the first's answer, at most until the deadline. That
-// it is lost is told at once.
-func (s *Server) firstAnswer(ctx context.Context, c *call, st claims.Standing) (Answer, *api.Problem) {
-	c.mayHaveRun = true // the first may have
-	wait := fetchFirst
+// awaitFirstAnswer waits for the first request's answer until ctx ends. If the answer
+// is lost, it returns immediately.
+func (s *Server) awaitFirstAnswer(ctx context.Context, c *call, standing claims.Standing) (Answer, *api.Problem) {
+	c.mayHaveRun = true // the first request may have
+	wait := minFetchInterval
 	for tries := 0; ; {
-		a, finished, found, done, err := s.fetch(ctx, st)
+		a, finished, found, done, err := s.fetchAnswer(ctx, standing)
 		switch {
 		case err == nil && finished && found:
 			return a, nil
 		case err == nil && !found:
-			return Answer{}, c.lostProblem(st)
+			return Answer{}, c.firstAnswerLostProblem(standing)
 		case err != nil:
-			if tries++; tries >= fetchTries {
-				return Answer{}, c.lostProblem(st)
+			if tries++; tries >= maxFetchFailures {
+				return Answer{}, c.firstAnswerLostProblem(standing)
 			}
 		default:
 			tries = 0
 		}
-		if !pause(ctx, wait, done) {
-			return Answer{}, c.stillRuns(ctx)
+		if !waitForAnswer(ctx, wait, done) {
+			return Answer{}, c.firstStillRunningProblem(ctx)
 		}
-		wait = min(2*wait, fetchMost)
+		wait = min(2*wait, maxFetchInterval)
 	}
 }
 
-// fetch asks the holder for the answer. done, if not nil, is closed once the
-// answer of a run on this instance is finished.
-func (s *Server) fetch(ctx context.Context, st claims.Standing) (a Answer, finished, found bool, done <-chan struct{}, err error) {
-	if st.Instance == s.opts.Instance {
-		a, finished, found, done = s.answers.get(st.Attempt)
+// fetchAnswer queries the instance that holds the claim for the answer. If that is
+// this instance, done is closed once the attempt is finished; otherwise done is nil.
+func (s *Server) fetchAnswer(ctx context.Context, standing claims.Standing) (a Answer, finished, found bool, done <-chan struct{}, err error) {
+	if standing.Instance == s.opts.Instance {
+		a, finished, found, done = s.answers.get(standing.Attempt)
 		return a, finished, found, done, nil
 	}
-	a, finished, found, err = s.opts.Answers.Fetch(ctx, st.Instance, st.Attempt)
+	a, finished, found, err = s.opts.Answers.Fetch(ctx, standing.Instance, standing.Attempt)
 	return a, finished, found, nil, err
 }
 
-// pause waits for d, or until done is closed where there is one. It says false
-// if ctx ended.
-func pause(ctx context.Context, d time.Duration, done <-chan struct{}) bool {
+// waitForAnswer waits until done is closed or, if done is nil, for d. It returns
+// false if ctx ended first.
+func waitForAnswer(ctx context.Context, d time.Duration, done <-chan struct{}) bool {
 	if done != nil {
 		select {
 		case <-done:
@@ -185,44 +187,48 @@
 	}
 }
 
-func (c *call) lostProblem(st claims.Standing) *api.Problem {
-	if st.Outcome == record.ClaimResult_UNKNOWN {
-		return c.problem(http.StatusBadGateway, api.TypeServer, CodeFirstUnknown, "it isn't known how the first request with this key ended", 0)
+// firstAnswerLostProblem returns the problem of a request whose key is claimed by a
+// request without a stored answer.
+func (c *call) firstAnswerLostProblem(standing claims.Standing) *api.Problem {
+	if standing.Outcome == record.ClaimResult_UNKNOWN {
+		return c.problem(http.StatusBadGateway, api.TypeServer, CodeFirstOutcomeUnknown, "it isn't known how the first request with this key ended", 0)
 	}
-	return c.problem(http.StatusBadGateway, api.TypeServer, CodeFirstLost, "the first request with this key was accepted, but its answer is lost", 0)
+	return c.problem(http.StatusBadGateway, api.TypeServer, CodeFirstAnswerLost, "the first request with this key was accepted, but its answer is lost", 0)
 }
 
-func (c *call) stillRuns(ctx context.Context) *api.Problem {
+// firstStillRunningProblem returns the problem of a request that ended before the
+// first request with its key.
+func (c *call) firstStillRunningProblem(ctx context.Context) *api.Problem {
 	if ctx.Err() == context.Canceled {
-		return c.goneProblem()
+		return c.disconnectedProblem()
 	}
-	p := c.problem(http.StatusGatewayTimeout, api.TypeTimeout, CodeFirstStillRuns, "the first request with this key has not ended yet", soon)
-	p.Again = true // a resend finds the first, and runs nothing
+	p := c.problem(http.StatusGatewayTimeout, api.TypeTimeout, CodeFirstStillRunning, "the first request with this key has not ended yet", shortRetryAfter)
+	p.Again = true // a retry finds the first request and runs nothing
 	return p
 }
 
-// replay sends an answer that was given before.
-func (k *sink) replay(a Answer) {
-	h := k.w.Header()
+// replay sends a stored answer.
+func (rw *response) replay(a Answer) {
+	h := rw.w.Header()
 	h.Set(HeaderReplayed, "true")
 	if a.Status == http.StatusServiceUnavailable || a.Status == http.StatusTooManyRequests {
-		h.Set("Retry-After", "1") // the first did not run, and its key is about to be free
+		h.Set("Retry-After", "1") // the first request did not run, and its key will soon be released
 	}
-	k.call.id = a.Request
-	k.call.server.ID = a.Server
-	k.call.server.FailureDomain = a.FailureDomain
-	k.start(a.Status, a.ContentType)
-	_ = k.write(a.Body) // a caller that is gone needs no answer
+	rw.call.id = a.Request
+	rw.call.server.ID = a.Server
+	rw.call.server.FailureDomain = a.FailureDomain
+	rw.writeHeader(a.Status, a.ContentType)
+	_ = rw.write(a.Body) // a disconnected caller needs no answer
 }
 
-func (s *Server) logClaim(c *call, cl claimed, st claims.Standing, err error) {
-	s.metrics.count("claims." + verdictNames[st.Verdict])
+func (s *Server) logClaim(c *call, claim claimRequest, standing claims.Standing, err error) {
+	s.metrics.count("claims." + verdictNames[standing.Verdict])
 	s.opts.Log.WithFields(logrus.Fields{
 		"request": c.id,
-		"attempt": cl.attempt,
-		"verdict": verdictNames[st.Verdict],
-		"holder":  st.Instance,
-		"first":   st.Request,
+		"attempt": claim.attempt,
+		"verdict": verdictNames[standing.Verdict],
+		"holder":  standing.Instance,
+		"first":   standing.Request,
 		"error":   err,
 	}).Info("claim")
 }
--- a/caller/keyed_test.go
+++ b/caller/keyed_test.go
@@ -44,7 +44,7 @@
 		gate := make(chan struct{})
 		first.blockUntil(gate)
 		ctx, leave := context.WithCancel(t.Context())
-		key := header{HeaderIdemKey: "k"}
+		key := header{HeaderIdempotencyKey: "k"}
 		body := `{"model":"tray","prompt":"p","max_tokens":4}`
 		lost := make(chan *httptest.ResponseRecorder, 1)
 		go func() { lost <- first.send(ctx, http.MethodPost, "/v1/completions", body, key) }()
@@ -76,7 +76,7 @@
 	_, err := r.claimer.Claim(t.Context(), &record.Claim{Key: key[:], Fingerprint: fingerprint[:], Instance: "gone", Attempt: "a"})
 	require.NoError(t, err)
 	r.answers.fetch = func(context.Context, string, string) (Answer, bool, bool, error) { return Answer{}, false, false, nil }
-	w := r.post("/v1/completions", body, header{HeaderIdemKey: "k"})
+	w := r.post("/v1/completions", body, header{HeaderIdempotencyKey: "k"})
 	require.Equal(t, http.StatusBadGateway, w.Code)
 	require.Contains(t, w.Body.String(), `"code":"first_answer_lost"`)
 	require.Contains(t, w.Body.String(), `"outcome":"unknown"`)
@@ -91,7 +91,7 @@
 		t.Run(code, func(t *testing.T) {
 			r := newRig(t)
 			r.claimer.verdict = verdict
-			w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, header{HeaderIdemKey: "k"})
+			w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, header{HeaderIdempotencyKey: "k"})
 			require.Equal(t, http.StatusServiceUnavailable, w.Code)
 			require.Contains(t, w.Body.String(), `"code":"`+code+`"`)
 			require.Contains(t, w.Body.String(), `"outcome":"not_run"`)
@@ -110,7 +110,7 @@
 		r := newRig(t)
 		r.SetTable(withoutReplicas())
 		synctest.Wait()
-		key := header{HeaderIdemKey: "k"}
+		key := header{HeaderIdempotencyKey: "k"}
 		w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, key, header{HeaderTimeout: "100"})
 		require.Contains(t, w.Body.String(), `"outcome":"not_run"`)
 		synctest.Wait()
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		r.onFirst(func(context.Context, infra.GenerateRequest) (infra.Stream, error) { return nil, broke() })
-		key := header{HeaderIdemKey: "k"}
+		key := header{HeaderIdempotencyKey: "k"}
 		w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, key)
 		require.Contains(t, w.Body.String(), `"outcome":"unknown"`)
 		again := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, key)
@@ -149,11 +149,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		r := newRig(t)
 		r.opts.Claimer = brokenClaimer{r.claimer}
-		w := r.post(pathCompletions, `{"model":"tray","prompt":"p"}`, header{HeaderIdemKey: "k"})
+		w := r.post(pathCompletions, `{"model":"tray","prompt":"p"}`, header{HeaderIdempotencyKey: "k"})
 		requireNotRun(t, w, http.StatusInternalServerError, CodeInternal)
 		r.opts.Claimer = r.claimer
 		began := time.Now()
-		w = r.post(pathCompletions, `{"model":"tray","prompt":"p"}`, header{HeaderIdemKey: "k"})
+		w = r.post(pathCompletions, `{"model":"tray","prompt":"p"}`, header{HeaderIdempotencyKey: "k"})
 		require.Contains(t, w.Body.String(), `"code":"first_answer_lost"`)
 		require.Zero(t, time.Since(began), "it is told at once")
 		r.empty(t)
@@ -162,7 +162,7 @@
 
 func TestKeptAnswersAreBoundedByBytesAndTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newKept(3*(keptOverhead+100), 1000)
+		k := newAnswerCache(3*(cacheEntryOverhead+100), 1000)
 		body := []byte(strings.Repeat("x", 100))
 		for i := range 5 {
 			k.begin(strconv.Itoa(i))
@@ -183,7 +183,7 @@
 		require.False(t, found, "none outlives the window")
 		_, finished, found, _ = k.get("running")
 		require.True(t, found && !finished)
-		require.Len(t, k.runs, 1)
+		require.Len(t, k.entries, 1)
 		require.Zero(t, k.bytes)
 	})
 }
--- a/caller/metrics.go
+++ b/caller/metrics.go
@@ -8,14 +8,15 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range of the latency histograms, in µs, and their digits: 100 KB each.
+// The range, in µs, and the significant digits of the latency histograms. Each
+// histogram takes 100 KB.
 const (
 	histogramMin    = 1
 	histogramMax    = int64(time.Hour / time.Microsecond)
 	histogramDigits = 2
 )
 
-// histogram is an HDR histogram of latencies that many goroutines record in.
+// histogram is an HDR histogram of latencies that is safe for concurrent use.
 type histogram struct {
 	mu sync.Mutex
 	h  *hdrhistogram.Histogram
@@ -32,7 +33,7 @@
 	_ = h.h.RecordValue(us) // the value is within the range
 }
 
-// Percentiles are a latency's percentiles, in µs.
+// Percentiles holds the percentiles of a latency, in µs.
 type Percentiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50_us"`
@@ -55,11 +56,11 @@
 	}
 }
 
-// metrics are one server's counters and latencies.
+// metrics holds the counters and latencies of a Server.
 type metrics struct {
 	vars       *expvar.Map
-	firstToken *histogram // from arrival
-	gap        *histogram // between tokens
+	firstToken *histogram // from arrival to the first token
+	tokenGap   *histogram // between two tokens
 	total      *histogram // from arrival to the end of a complete answer
 }
 
@@ -67,9 +68,9 @@
 	if vars == nil {
 		vars = new(expvar.Map).Init()
 	}
-	m := &metrics{vars: vars, firstToken: newHistogram(), gap: newHistogram(), total: newHistogram()}
+	m := &metrics{vars: vars, firstToken: newHistogram(), tokenGap: newHistogram(), total: newHistogram()}
 	vars.Set("first_token", expvar.Func(m.firstToken.percentiles))
-	vars.Set("between_tokens", expvar.Func(m.gap.percentiles))
+	vars.Set("between_tokens", expvar.Func(m.tokenGap.percentiles))
 	vars.Set("total", expvar.Func(m.total.percentiles))
 	return m
 }
--- a/caller/models.go
+++ b/caller/models.go
@@ -12,11 +12,11 @@
 	"greengageferry/infra"
 )
 
-// defaultMaxTokens bounds an answer where the table says nothing: the
+// defaultMaxTokens limits an answer if the table sets no limit. It is the
 // configuration's default.
 const defaultMaxTokens = 1024
 
-type modelLine struct {
+type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
 	Created int64  `json:"created"`
@@ -24,19 +24,19 @@
 }
 
 type modelList struct {
-	Object string      `json:"object"`
-	Data   []modelLine `json:"data"`
+	Object string       `json:"object"`
+	Data   []modelEntry `json:"data"`
 }
 
-// serveModels lists the models and adapters that the caller may ask for.
-func (s *Server) serveModels(k *sink, c *call, r *http.Request) *api.Problem {
+// serveModels lists the models and adapters of the caller's partner.
+func (s *Server) serveModels(rw *response, c *call, r *http.Request) *api.Problem {
 	if r.Method != http.MethodGet {
-		return methodProblem(k, http.MethodGet)
+		return methodProblem(rw, http.MethodGet)
 	}
-	list := modelList{Object: "list", Data: []modelLine{}}
+	list := modelList{Object: "list", Data: []modelEntry{}}
 	for name, t := range s.table.Load().Targets {
-		if t.Partner == c.who.partner && !t.Service {
-			list.Data = append(list.Data, modelLine{ID: name, Object: "model", OwnedBy: t.Partner})
+		if t.Partner == c.sender.partner && !t.Service {
+			list.Data = append(list.Data, modelEntry{ID: name, Object: "model", OwnedBy: t.Partner})
 		}
 	}
 	sort.Slice(list.Data, func(i, j int) bool { return list.Data[i].ID < list.Data[j].ID })
@@ -44,27 +44,27 @@
 	if err != nil {
 		panic(err) // strings and integers always have a JSON form
 	}
-	k.start(http.StatusOK, contentJSON)
-	_ = k.write(body) // a caller that is gone needs no answer
+	rw.writeHeader(http.StatusOK, contentJSON)
+	_ = rw.write(body) // a disconnected caller needs no answer
 	return nil
 }
 
-func methodProblem(k *sink, allowed string) *api.Problem {
-	k.w.Header().Set("Allow", allowed)
-	return invalid(http.StatusMethodNotAllowed, CodeMethod, "the path takes only "+allowed)
+func methodProblem(rw *response, allowed string) *api.Problem {
+	rw.w.Header().Set("Allow", allowed)
+	return invalid(http.StatusMethodNotAllowed, CodeMethodNotAllowed, "the path takes only "+allowed)
 }
 
-// target returns what the caller asks for by name.
+// target returns the named model, adapter or service if the caller may use it.
 func (s *Server) target(c *call, name string, service bool) (*decide.Target, *api.Problem) {
 	t := s.table.Load().Targets[name]
 	if t == nil || t.Service != service {
-		return nil, unknownTarget(service)
+		return nil, unknownTargetProblem(service)
 	}
-	if t.Partner != c.who.partner {
+	if t.Partner != c.sender.partner {
 		return nil, &api.Problem{
 			Status:  http.StatusForbidden,
 			Type:    api.TypePermission,
-			Code:    CodeNotYours,
+			Code:    CodeOtherPartner,
 			Message: "it is another partner's",
 			Outcome: api.OutcomeNotRun,
 		}
@@ -72,7 +72,7 @@
 	return t, nil
 }
 
-func unknownTarget(service bool) *api.Problem {
+func unknownTargetProblem(service bool) *api.Problem {
 	p := &api.Problem{
 		Status:  http.StatusNotFound,
 		Type:    api.TypeNotFound,
@@ -88,15 +88,15 @@
 }
 
 // serveModel answers a completion or a chat completion.
-func (s *Server) serveModel(k *sink, c *call, r *http.Request, kind api.Kind) *api.Problem {
+func (s *Server) serveModel(rw *response, c *call, r *http.Request, kind api.Kind) *api.Problem {
 	if r.Method != http.MethodPost {
-		return methodProblem(k, http.MethodPost)
+		return methodProblem(rw, http.MethodPost)
 	}
-	w, p := s.parseWishes(r.Header)
+	o, p := s.parseRequestOptions(r.Header)
 	if p != nil {
 		return p
 	}
-	body, p := s.readBody(k, r)
+	body, p := s.readBody(rw, r)
 	if p != nil {
 		return p
 	}
@@ -104,29 +104,29 @@
 	if err != nil {
 		return asProblem(err)
 	}
-	if p := s.prepareModel(c, w, req); p != nil {
+	if p := s.prepareModel(c, o, req); p != nil {
 		return p
 	}
-	j := s.newModelJob(k, c, req)
-	if w.key == "" {
-		ctx, _, cancel := within(r, c, false)
+	j := s.newModelJob(rw, c, req)
+	if o.key == "" {
+		ctx, _, cancel := callContexts(r, c, false)
 		defer cancel()
-		return s.serveOnce(ctx, c, j)
+		return s.serveUnclaimed(ctx, c, j)
 	}
 	canonical, p := canonicalJSON(body)
 	if p != nil {
 		return p
 	}
-	ctx, callerCtx, cancel := within(r, c, true)
+	ctx, callerCtx, cancel := callContexts(r, c, true)
 	defer cancel()
-	return s.serveClaimed(ctx, callerCtx, c, k, j, claimed{
-		key:         w.key,
-		fingerprint: digest([]byte(c.who.partner), []byte(r.URL.Path), canonical),
+	return s.serveClaimed(ctx, callerCtx, c, rw, j, claimRequest{
+		key:         o.key,
+		fingerprint: digest([]byte(c.sender.partner), []byte(r.URL.Path), canonical),
 	})
 }
 
-// serveOnce runs a request that needs no claim.
-func (s *Server) serveOnce(ctx context.Context, c *call, j job) *api.Problem {
+// serveUnclaimed runs a request that needs no claim.
+func (s *Server) serveUnclaimed(ctx context.Context, c *call, j job) *api.Problem {
 	p := s.run(ctx, c, j)
 	if p != nil {
 		j.fail(p)
@@ -134,70 +134,72 @@
 	return p
 }
 
-// prepareModel fills in the call from what the request asks for.
-func (s *Server) prepareModel(c *call, w wishes, req *api.Request) *api.Problem {
+// prepareModel sets the call's fields from the request.
+func (s *Server) prepareModel(c *call, o requestOptions, req *api.Request) *api.Problem {
 	t, p := s.target(c, req.Model, false)
 	if p != nil {
 		return p
 	}
 	c.target = t
-	c.setWishes(w, t, s.opts.Limits.MaxTimeout)
+	c.applyOptions(o, t, s.opts.Limits.MaxTimeout)
 	c.promptBytes = len(req.Prompt)
 	c.prefix = infra.PrefixHash(req.Prompt)
-	most := t.MaxTokens
-	if most <= 0 {
-		most = defaultMaxTokens
+	limit := t.MaxTokens
+	if limit <= 0 {
+		limit = defaultMaxTokens
 	}
-	c.maxTokens = most
+	c.maxTokens = limit
 	if req.MaxTokens > 0 {
 		c.maxTokens = req.MaxTokens
 	}
-	if c.maxTokens > most {
-		return api.Invalid(api.CodeBadField, "max_tokens is over the model's most, %d", most)
+	if c.maxTokens > limit {
+		return api.Invalid(api.CodeBadField, "max_tokens is over the model's most, %d", limit)
 	}
-	c.fingerprint = digest([]byte(c.who.partner), []byte(t.Name), []byte(req.Prompt))
-	return s.quarantined(c)
+	c.fingerprint = digest([]byte(c.sender.partner), []byte(t.Name), []byte(req.Prompt))
+	return s.checkQuarantine(c)
 }
 
-// quarantined refuses a request that crashes backend servers.
-func (s *Server) quarantined(c *call) *api.Problem {
+// checkQuarantine refuses a request that crashes backend servers.
+func (s *Server) checkQuarantine(c *call) *api.Problem {
 	if !s.opts.Quarantine.Quarantined(c.fingerprint) {
 		return nil
 	}
-	return c.refusal(decide.ReasonQuarantined, 0)
+	return c.refusalProblem(decide.ReasonQuarantined, 0)
 }
 
-// setWishes applies what the headers ask for. A keyed request is claimed, and
-// so is never dispatched again by itself: its caller may resend it.
-func (c *call) setWishes(w wishes, t *decide.Target, most time.Duration) {
-	c.priority = w.priority
-	c.idempotent = !w.nonIdempotent && w.key == ""
-	timeout := w.timeout
+// applyOptions sets the call's priority, deadline and idempotency. A request with
+// an idempotency key is claimed and counts as non-idempotent here: the instance
+// does not dispatch it again after an unknown outcome, but its caller may retry.
+func (c *call) applyOptions(o requestOptions, t *decide.Target, limit time.Duration) {
+	c.priority = o.priority
+	c.idempotent = !o.nonIdempotent && o.key == ""
+	timeout := o.timeout
 	if timeout == 0 {
 		timeout = t.Timeout
 	}
-	if timeout <= 0 || timeout > most {
-		timeout = most
+	if timeout <= 0 || timeout > limit {
+		timeout = limit
 	}
 	c.deadline = c.arrived.Add(timeout)
 }
 
-func (s *Server) newModelJob(k *sink, c *call, req *api.Request) *modelJob {
-	j := &modelJob{server: s, call: c, sink: k, prompt: req.Prompt, seed: s.rng.Uint64()}
+func (s *Server) newModelJob(rw *response, c *call, req *api.Request) *modelJob {
+	j := &modelJob{server: s, call: c, response: rw, prompt: req.Prompt, seed: s.rng.Uint64()}
 	if req.Seed != nil {
 		j.seed = *req.Seed
 	}
 	head := api.Head{Kind: req.Kind, Request: c.id, Model: req.Model, Created: c.arrived}
 	if req.Stream {
-		j.reply = &streamReply{sink: k, events: api.NewEvents(&head), usage: req.IncludeUsage}
+		j.encoder = &streamEncoder{response: rw, events: api.NewEvents(&head), includeUsage: req.IncludeUsage}
 	} else {
-		j.reply = &wholeReply{sink: k, head: head, most: s.opts.Limits.AnswerBytes}
+		j.encoder = &bufferedEncoder{response: rw, head: head, maxBytes: s.opts.Limits.BufferedAnswerBytes}
 	}
 	return j
 }
 
-// canonicalJSON returns the body's JSON with sorted members and no spaces, so
-// that a resend that a library encodes anew is known as the same request.
+// canonicalJSON returns the body's JSON with sorted members and no whitespace, so
+// that a retry that a client library encodes differently is recognized as the same
+// request.
 func canonicalJSON(body []byte) ([]byte, *api.Problem) {
 	canonical, err := api.Canonical(body)
 	if err != nil {
--- a/caller/options.go
+++ b/caller/options.go
@@ -11,10 +11,10 @@
 	"greengageferry/infra"
 )
 
-// Options is what a Server is built from. Directory, Engine, Services, Claimer,
-// Quarantine, Answers and Log must be set.
+// Options configures a Server. Instance, FailureDomain, Directory, Engine,
+// Services, Claimer, Quarantine, Answers and Log must be set.
 type Options struct {
-	Instance      string // this entry instance's id
+	Instance      string // this entry instance's ID
 	FailureDomain string // this entry instance's failure domain
 
 	Directory  Directory
@@ -23,63 +23,66 @@
 	Claimer    claims.Claimer
 	Quarantine Quarantine
 	Answers    Answers
-	Observer   Observer // nil: nobody is told
+	Observer   Observer // optional
 
 	Limits  Limits
 	Log     logrus.FieldLogger
-	Metrics *expvar.Map // nil: kept, but shown nowhere
-	Rand    *rand.Rand  // the scheduler's; nil: seeded at random. Owned by the Server from then on
+	Metrics *expvar.Map // if nil, the metrics are not exported
+	Rand    *rand.Rand  // source for the scheduler, owned by the Server; if nil, seeded at random
 }
 
-// Limits bound what one caller's request and all of them together may take. A
-// zero value takes its default.
+// Limits bound the resources of one request and of all requests together. A zero
+// field takes its default.
 type Limits struct {
-	BodyBytes      int           // a request's body
-	BodyTime       time.Duration // the time in which a request's body must arrive
-	MaxTimeout     time.Duration // the longest deadline that a caller may ask for
-	Requests       int           // requests in hand at once
-	Ring           int           // places on the ring to the dispatcher
-	AnswerBytes    int           // an answer that is held whole: not streamed, or kept for resends
-	KeptBytes      int           // answers kept for resends, all together
-	Results        int           // places on the ring of claims' results
-	CancelsWaiting int           // places on the ring of attempts to cancel
+	BodyBytes           int           // bytes of a request's body
+	BodyReadTimeout     time.Duration // time within which a request's body must arrive
+	MaxTimeout          time.Duration // longest timeout that a caller may request
+	ConcurrentRequests  int           // requests in flight at once
+	DispatcherQueue     int           // capacity of the queue of events to the dispatcher
+	BufferedAnswerBytes int           // bytes of one buffered answer: not streamed, or stored for replay
+	AnswerCacheBytes    int           // bytes of all answers stored for replay
+	ResultQueue         int           // capacity of the queue of claim results
+	CancelQueue         int           // capacity of the queue of cancel requests to engines
 }
 
 // The defaults of Limits.
 const (
 	// DefaultBodyBytes holds a prompt of some 250,000 tokens.
 	DefaultBodyBytes = 1 << 20
-	// DefaultBodyTime lets the largest body through at 100 KB/s.
-	DefaultBodyTime = 10 * time.Second
+	// DefaultBodyReadTimeout lets the largest body arrive at 100 KB/s.
+	DefaultBodyReadTimeout = 10 * time.Second
 	// DefaultMaxTimeout is well below claims.Window, so that a claimed request
-	// ends while its claim is remembered.
+	// ends before its claim expires.
 	DefaultMaxTimeout = 10 * time.Minute
-	// DefaultRequests is a hundred times a node's part of the peak, which is
-	// 1,100 requests a second of some 10 s over 370 nodes. At the 65 KB measured
-	// for an open stream it bounds memory to 270 MB.
-	DefaultRequests = 4096
-	// DefaultRing holds a second's arrivals at a hundred times that peak.
-	DefaultRing = 1024
-	// DefaultAnswerBytes holds 1,024 tokens of any length seen, many times over.
-	DefaultAnswerBytes = 1 << 20
-	// DefaultKeptBytes holds a few thousand drafts of a page.
-	DefaultKeptBytes = 8 << 20
-	// DefaultResults holds the results of a burst while the log answers.
-	DefaultResults = 1024
-	// DefaultCancelsWaiting holds the attempts of a few servers that broke at once.
-	DefaultCancelsWaiting = 1024
+	// DefaultConcurrentRequests is a hundred times a node's share of the peak, which is
+	// 1,100 requests/s of some 10 s each on 370 nodes. At 65 KB per open stream
+	// it bounds memory to 270 MB.
+	DefaultConcurrentRequests = 4096
+	// DefaultDispatcherQueue holds one second's arrivals at a hundred times that
+	// peak.
+	DefaultDispatcherQueue = 1024
+	// DefaultBufferedAnswerBytes is many times the size of 1,024 of the longest tokens
+	// seen.
+	DefaultBufferedAnswerBytes = 1 << 20
+	// DefaultAnswerCacheBytes holds a few thousand answers of one page of text.
+	DefaultAnswerCacheBytes = 8 << 20
+	// DefaultResultQueue holds the results of a burst while appends to the log are
+	// pending.
+	DefaultResultQueue = 1024
+	// DefaultCancelQueue holds the attempts of a few servers that fail at once.
+	DefaultCancelQueue = 1024
 )
 
 func (l Limits) withDefaults() Limits {
 	setDefault(&l.BodyBytes, DefaultBodyBytes)
-	setDefault(&l.BodyTime, DefaultBodyTime)
+	setDefault(&l.BodyReadTimeout, DefaultBodyReadTimeout)
 	setDefault(&l.MaxTimeout, DefaultMaxTimeout)
-	setDefault(&l.Requests, DefaultRequests)
-	setDefault(&l.Ring, DefaultRing)
-	setDefault(&l.AnswerBytes, DefaultAnswerBytes)
-	setDefault(&l.KeptBytes, DefaultKeptBytes)
-	setDefault(&l.Results, DefaultResults)
-	setDefault(&l.CancelsWaiting, DefaultCancelsWaiting)
+	setDefault(&l.ConcurrentRequests, DefaultConcurrentRequests)
+	setDefault(&l.DispatcherQueue, DefaultDispatcherQueue)
+	setDefault(&l.BufferedAnswerBytes, DefaultBufferedAnswerBytes)
+	setDefault(&l.AnswerCacheBytes, DefaultAnswerCacheBytes)
+	setDefault(&l.ResultQueue, DefaultResultQueue)
+	setDefault(&l.CancelQueue, DefaultCancelQueue)
 	return l
 }
 
@@ -90,7 +93,7 @@
 	}
 }
 
-// OptionError says that an option is missing.
+// OptionError reports a missing option.
 type OptionError struct{ Field string }
 
 // Error implements error.
--- a/caller/outbox.go
+++ b/caller/outbox.go
@@ -6,23 +6,24 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// outbox is a duty that sends messages which no request waits for.
+// outbox is a duty that sends queued messages concurrently. No request waits for
+// them.
 type outbox[T any] struct {
-	ring   chan T // full: see put
-	atOnce int    // sends under way at once: one that hangs mustn't hold up the others
-	send   func(context.Context, T)
-	failed func(panicked any) // told of a send that panicked; the others go on
-	books  *inHand            // not nil: what waits here is counted in, so that Idle waits for it
+	queue         chan T // see put for a full queue
+	maxConcurrent int    // limit of concurrent sends, so that one that hangs doesn't block the others
+	send          func(context.Context, T)
+	onPanic       func(panicked any) // called after a send panicked; other sends continue
+	work          *workTracker       // if not nil, counts pending messages, so that Server.Idle waits for them
 }
 
-// put adds a message. Ring full: it says false, and the message is dropped;
-// each user of an outbox says why that does no harm.
+// put queues a message. If the queue is full it drops the message and returns false.
+// The comment at each use of put says why a dropped message does no harm.
 func (o *outbox[T]) put(message T) bool {
-	if o.books != nil {
-		o.books.hold()
+	if o.work != nil {
+		o.work.add()
 	}
 	select {
-	case o.ring <- message:
+	case o.queue <- message:
 		return true
 	default:
 		o.release()
@@ -31,22 +32,22 @@
 }
 
 func (o *outbox[T]) release() {
-	if o.books != nil {
-		o.books.leave()
+	if o.work != nil {
+		o.work.done()
 	}
 }
 
-// run sends until ctx ends. What is under way then is cut off; in a graceful
-// shutdown nothing that matters is, since Idle was waited for.
+// run sends messages until ctx ends, which also aborts the sends in progress. In a
+// graceful shutdown ctx ends only after Server.Idle, so nothing important is lost.
 func (o *outbox[T]) run(ctx context.Context) error {
 	var g errgroup.Group
-	g.SetLimit(o.atOnce)
+	g.SetLimit(o.maxConcurrent)
 	defer func() { _ = g.Wait() }()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case message := <-o.ring:
+		case message := <-o.queue:
 			g.Go(func() error {
 				defer o.release()
 				defer o.recover()
@@ -59,6 +60,6 @@
 
 func (o *outbox[T]) recover() {
 	if v := recover(); v != nil {
-		o.failed(v)
+		o.onPanic(v)
 	}
 }
--- a/caller/refusals_test.go
+++ b/caller/refusals_test.go
@@ -58,11 +58,11 @@
 		"wrong key":           {pathCompletions, good, header{"Authorization": "Bearer x"}, 401, CodeWrongKey},
 		"unknown model":       {pathCompletions, `{"model":"x","prompt":"p"}`, nil, 404, CodeUnknownModel},
 		"a service as model":  {pathCompletions, `{"model":"order-desk","prompt":"p"}`, nil, 404, CodeUnknownModel},
-		"another's model":     {pathCompletions, `{"model":"facade","prompt":"p"}`, nil, 403, CodeNotYours},
+		"another's model":     {pathCompletions, `{"model":"facade","prompt":"p"}`, nil, 403, CodeOtherPartner},
 		"unknown service":     {"/services/x/y", "", nil, 404, CodeUnknownService},
 		"a model as service":  {"/services/tray/y", "", nil, 404, CodeUnknownService},
 		"unknown path":        {"/v1/embeddings", good, nil, 404, CodeNoSuchPath},
-		"models by POST":      {pathModels, "", nil, 405, CodeMethod},
+		"models by POST":      {pathModels, "", nil, 405, CodeMethodNotAllowed},
 		"broken JSON":         {pathCompletions, `{"model":`, nil, 400, api.CodeBadJSON},
 		"two objects":         {pathCompletions, good + good, nil, 400, api.CodeBadJSON},
 		"a list":              {pathCompletions, `[]`, nil, 400, api.CodeBadJSON},
@@ -88,9 +88,9 @@
 		"timeout is too long": {pathCompletions, good, header{HeaderTimeout: "600001"}, 400, CodeBadTimeout},
 		"priority is a word":  {pathCompletions, good, header{HeaderPriority: "high"}, 400, CodeBadPriority},
 		"priority too high":   {pathCompletions, good, header{HeaderPriority: "11"}, 400, CodeBadPriority},
-		"mark is no bool":     {pathCompletions, good, header{HeaderNonIdempotent: "yes"}, 400, CodeBadMark},
-		"an empty key":        {pathCompletions, good, header{HeaderIdemKey: ""}, 400, CodeBadIdemKey},
-		"a very long key":     {pathCompletions, good, header{HeaderIdemKey: strings.Repeat("k", 256)}, 400, CodeBadIdemKey},
+		"mark is no bool":     {pathCompletions, good, header{HeaderNonIdempotent: "yes"}, 400, CodeBadNonIdempotent},
+		"an empty key":        {pathCompletions, good, header{HeaderIdempotencyKey: ""}, 400, CodeBadIdempotencyKey},
+		"a very long key":     {pathCompletions, good, header{HeaderIdempotencyKey: strings.Repeat("k", 256)}, 400, CodeBadIdempotencyKey},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireNotRun(t, r.post(tc.path, tc.body, tc.headers), tc.status, tc.code)
@@ -160,30 +160,30 @@
 }
 
 func TestLimitsOfRequestsAndRing(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.Requests = 1; o.Limits.Ring = 1 })
-	require.Equal(t, entered, r.inHand.enter(1))
-	requireNotRun(t, r.post(pathCompletions, `{}`), 503, CodeTooMany)
-	r.inHand.leave()
+	r := newRig(t, func(o *Options) { o.Limits.ConcurrentRequests = 1; o.Limits.DispatcherQueue = 1 })
+	require.Equal(t, admitted, r.workTracker.admit(1))
+	requireNotRun(t, r.post(pathCompletions, `{}`), 503, CodeTooManyRequests)
+	r.workTracker.done()
 	r.stop()
-	r.ring <- reported{} // nobody reads the ring now: it is full
+	r.queue <- loadReported{} // nobody reads the ring now: it is full
 	w := r.post(pathCompletions, `{"model":"tray","prompt":"p"}`)
-	requireNotRun(t, w, 503, CodeRingFull)
+	requireNotRun(t, w, 503, CodeDispatcherBusy)
 	require.Equal(t, "1", w.Header().Get("Retry-After"))
-	r.Reported("e0", infra.Load{}, 0)
+	r.ReportLoad("e0", infra.Load{}, 0)
 	require.Equal(t, "1", r.counter("hints_dropped"))
 }
 
 // listen serves the handler on loopback, as an entry instance does.
 func (r *rig) listen(t testing.TB) *httptest.Server {
 	srv := httptest.NewUnstartedServer(r.Handler())
-	Configure(srv.Config)
+	ConfigureHTTPServer(srv.Config)
 	srv.Start()
 	t.Cleanup(srv.Close)
 	return srv
 }
 
 func TestSlowBodyIsRefusedInTime(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.BodyTime = 50 * time.Millisecond })
+	r := newRig(t, func(o *Options) { o.Limits.BodyReadTimeout = 50 * time.Millisecond })
 	srv := r.listen(t)
 	conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 	require.NoError(t, err)
@@ -218,9 +218,9 @@
 
 func TestConfigureBoundsSlowHeaders(t *testing.T) {
 	var h http.Server
-	Configure(&h)
-	require.Equal(t, HeaderTime, h.ReadHeaderTimeout)
-	require.Equal(t, HeaderBytes, h.MaxHeaderBytes)
+	ConfigureHTTPServer(&h)
+	require.Equal(t, HeaderReadTimeout, h.ReadHeaderTimeout)
+	require.Equal(t, HeaderSizeLimit, h.MaxHeaderBytes)
 	require.Zero(t, h.WriteTimeout, "streams last as long as their requests")
 }
 
--- a/caller/resend_test.go
+++ b/caller/resend_test.go
@@ -65,7 +65,7 @@
 			if s.leaves {
 				time.AfterFunc(500*time.Millisecond, cancel)
 			}
-			answers[i] = rigs[s.instance].send(ctx, http.MethodPost, pathCompletions, streamed, header{HeaderIdemKey: "k"})
+			answers[i] = rigs[s.instance].send(ctx, http.MethodPost, pathCompletions, streamed, header{HeaderIdempotencyKey: "k"})
 		})
 	}
 	wg.Wait()
--- a/caller/results.go
+++ b/caller/results.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// resultTime bounds the report of one claim's result through an outage of
-	// the log. A result that is lost costs little: a resend still finds the
-	// answer at this instance.
-	resultTime = 30 * time.Second
-	// resultsAtOnce lets the claims' batcher fill its batches.
-	resultsAtOnce = 64
+	// resultTimeout limits how long one claim result is retried during a log
+	// outage. A lost result has little effect: a later request with the same key
+	// still finds the answer at this instance.
+	resultTimeout = 30 * time.Second
+	// maxConcurrentResults is large enough to fill the batches of the claims
+	// batcher.
+	maxConcurrentResults = 64
 )
 
-// report has a claim's result sent to the log. Ring full: the result is
-// dropped, logged and counted; the key stays claimed for its window, and a
-// resend finds the answer here.
-func (s *Server) report(r *record.ClaimResult) {
+// reportResult queues a claim's result for the log. If the queue is full the result
+// is dropped, logged and counted. The key then stays claimed for claims.Window, and
+// a later request with the same key finds the answer at this instance.
+func (s *Server) reportResult(r *record.ClaimResult) {
 	if s.results.put(r) {
 		return
 	}
@@ -30,11 +31,11 @@
 }
 
 func (s *Server) sendResult(ctx context.Context, r *record.ClaimResult) {
-	ctx, cancel := context.WithTimeout(ctx, resultTime)
+	ctx, cancel := context.WithTimeout(ctx, resultTimeout)
 	defer cancel()
 	if err := s.opts.Claimer.Result(ctx, r); err != nil {
 		s.metrics.count("claim_results_failed")
-		s.opts.Log.WithFields(resultFields(r)).WithField("error", err).Warn("claim result not kept")
+		s.opts.Log.WithFields(resultFields(r)).WithField("error", err).Warn("claim result not recorded")
 	}
 }
 
--- a/caller/run.go
+++ b/caller/run.go
@@ -15,27 +15,27 @@
 	"greengageferry/infra"
 )
 
-// maxCrashes is how many servers may die under one request in hand before it
-// is given up: the log's quarantine learns of a death only after an append, and
-// until then the request must not go from server to server.
+// maxCrashes is the number of servers that may crash while running one request
+// before the request is refused. The quarantine learns of a crash only after an
+// append to the log; until then the request must not crash server after server.
 const maxCrashes = 2
 
-// job is what a call asks of a backend server.
+// job is the work that a call sends to a backend server.
 type job interface {
-	// attempt carries out one dispatch, up to the end of the answer. On success
-	// the whole answer went out.
+	// attempt sends the request to one server and relays its answer to the end.
+	// On success the complete answer was written.
 	attempt(ctx context.Context, d decide.Decision) (decide.Outcome, *attemptError)
-	// fail ends the answer with a problem, in the form that what has already
-	// gone out allows.
+	// fail ends the answer with a problem, in the form that the bytes already
+	// written allow.
 	fail(p *api.Problem)
 }
 
-// attemptError is why a dispatch brought no whole answer.
+// attemptError says why an attempt produced no complete answer.
 type attemptError struct {
-	failure decide.Failure
-	final   *api.Problem // set: no further attempt makes sense
-	gone    bool         // the caller is gone
-	err     error        // the cause, for the log
+	failure      decide.Failure
+	final        *api.Problem // if set, no further attempt makes sense
+	disconnected bool         // the caller disconnected
+	err          error        // the cause, for the log
 }
 
 // Error implements error.
@@ -44,65 +44,67 @@
 // Unwrap returns the cause.
 func (e *attemptError) Unwrap() error { return e.err }
 
-// run takes the call from its arrival to its end. It returns nil once the whole
-// answer went out, and else the problem to tell. A panic is a problem as well.
+// run schedules the call and attempts it until it succeeds or no further attempt
+// is allowed. It returns nil once the complete answer was written, and otherwise
+// the problem to report; a panic is reported as a problem too.
 func (s *Server) run(ctx context.Context, c *call, j job) (p *api.Problem) {
-	defer s.leave(c)
+	defer s.cancelCall(c)
 	defer func() {
 		if v := recover(); v != nil {
 			s.opts.Log.WithFields(logrus.Fields{"request": c.id, "panic": v, "stack": string(debug.Stack())}).Error("request panicked")
-			p = c.problem(http.StatusInternalServerError, api.TypeServer, CodeInternal, "an internal fault", soon)
+			p = c.problem(http.StatusInternalServerError, api.TypeServer, CodeInternal, "an internal fault", shortRetryAfter)
 		}
 	}()
-	if !s.offer(arrived{c, s.opts.Quarantine.Suspect(c.fingerprint)}) {
+	if !s.tryEnqueue(arrived{c, s.opts.Quarantine.Suspect(c.fingerprint)}) {
 		c.ended.Store(true)
-		return notRunYet(CodeRingFull, "too many requests arrive at once", soon)
+		return unavailable(CodeDispatcherBusy, "too many requests arrive at once", shortRetryAfter)
 	}
 	for {
-		d, p := c.await(ctx)
+		d, p := c.awaitDecision(ctx)
 		if p != nil {
 			return p
 		}
 		if d.Action == decide.ActionRefuse {
-			return c.refusal(d.Reason, d.RetryAfter)
+			return c.refusalProblem(d.Reason, d.RetryAfter)
 		}
 		o, err := s.attempt(ctx, c, j, d)
 		if err == nil {
-			s.end(c, d.Server.ID, o)
+			s.finishCall(c, d.Server.ID, o)
 			return nil
 		}
-		if p := c.giveUp(ctx, err); p != nil {
-			s.end(c, d.Server.ID, o)
+		if p := c.finalProblem(ctx, err); p != nil {
+			s.finishCall(c, d.Server.ID, o)
 			return p
 		}
 		if s.opts.Quarantine.Quarantined(c.fingerprint) {
-			s.end(c, d.Server.ID, o)
-			return c.refusal(decide.ReasonQuarantined, 0)
+			s.finishCall(c, d.Server.ID, o)
+			return c.refusalProblem(decide.ReasonQuarantined, 0)
 		}
-		s.tell(failed{c, d.Server.ID, err.failure})
+		s.enqueue(attemptFailed{c, d.Server.ID, err.failure})
 	}
 }
 
-// await waits for the scheduler's next decision about the call.
-func (c *call) await(ctx context.Context) (decide.Decision, *api.Problem) {
+// awaitDecision waits for the scheduler's next decision about the call.
+func (c *call) awaitDecision(ctx context.Context) (decide.Decision, *api.Problem) {
 	select {
 	case d := <-c.decisions:
 		return d, nil
 	case <-ctx.Done():
-		return decide.Decision{}, c.endProblem(ctx)
+		return decide.Decision{}, c.contextProblem(ctx)
 	}
 }
 
-// attempt dispatches the call once and keeps the books on it.
+// attempt dispatches the call once and records the result: whether the call may
+// have run, the load in flight, metrics, crashes and the log line.
 func (s *Server) attempt(ctx context.Context, c *call, j job, d decide.Decision) (decide.Outcome, *attemptError) {
 	c.server = d.Server
 	before := c.mayHaveRun
-	c.mayHaveRun = true // until the server says otherwise
-	boot := s.flights.begin(d.Server.ID)
+	c.mayHaveRun = true // until the server reports otherwise
+	boot := s.serverTracker.begin(d.Server.ID)
 	if !c.target.Service {
-		s.learnBoot(d.Server)
+		s.refreshBoot(d.Server)
 	}
-	defer s.flights.end(d.Server.ID)
+	defer s.serverTracker.end(d.Server.ID)
 	o, err := j.attempt(ctx, d)
 	if err == nil {
 		return o, nil
@@ -111,7 +113,7 @@
 		c.mayHaveRun = before
 	}
 	s.metrics.count("attempts_failed." + string(err.failure.Reason))
-	if s.diedUnder(ctx, c, boot, err) {
+	if s.detectCrash(ctx, c, boot, err) {
 		c.crashes++
 		err.failure.Crash = true
 	}
@@ -122,61 +124,63 @@
 		"effect":  err.failure.Effect.String(),
 		"tokens":  err.failure.Tokens,
 		"crash":   err.failure.Crash,
-		"error":   withoutURL(err.err),
+		"error":   stripURL(err.err),
 	}).Warn("attempt failed")
 	return o, err
 }
 
-// giveUp returns the problem to end with if no further attempt may follow.
-func (c *call) giveUp(ctx context.Context, e *attemptError) *api.Problem {
+// finalProblem returns the problem that ends the call if no further attempt is
+// allowed, and nil otherwise.
+func (c *call) finalProblem(ctx context.Context, e *attemptError) *api.Problem {
 	switch {
-	case e.gone:
-		return c.goneProblem()
+	case e.disconnected:
+		return c.disconnectedProblem()
 	case ctx.Err() != nil:
-		return c.endProblem(ctx)
+		return c.contextProblem(ctx)
 	case e.final != nil:
 		return e.final
 	case c.mayHaveRun && !c.idempotent:
-		return c.refusal(decide.ReasonMayHaveRun, 0)
+		return c.refusalProblem(decide.ReasonMayHaveRun, 0)
 	case c.crashes >= maxCrashes:
-		return c.refusal(decide.ReasonQuarantined, 0)
+		return c.refusalProblem(decide.ReasonQuarantined, 0)
 	}
 	return nil
 }
 
-// endProblem tells why the call's context ended.
-func (c *call) endProblem(ctx context.Context) *api.Problem {
+// contextProblem returns the problem for the end of the call's context.
+func (c *call) contextProblem(ctx context.Context) *api.Problem {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return c.deadlineProblem()
 	}
-	return c.goneProblem()
+	return c.disconnectedProblem()
 }
 
-// statusGone is told to nobody: the caller is gone. It is for logs.
-const statusGone = 499
+// statusClientClosedRequest is nginx's status for a disconnected client. It only
+// appears in logs, since nobody receives the answer.
+const statusClientClosedRequest = 499
 
-func (c *call) goneProblem() *api.Problem {
-	return c.problem(statusGone, api.TypeInvalid, string(decide.ReasonCanceled), "the caller has gone", 0)
+func (c *call) disconnectedProblem() *api.Problem {
+	return c.problem(statusClientClosedRequest, api.TypeInvalid, string(decide.ReasonCanceled), "the caller has gone", 0)
 }
 
-// end tells the scheduler once that the call is over.
-func (s *Server) end(c *call, server string, o decide.Outcome) {
+// finishCall tells the scheduler, at most once, that the call ended.
+func (s *Server) finishCall(c *call, server string, o decide.Outcome) {
 	if !c.ended.Swap(true) {
-		s.tell(ended{c, server, o})
+		s.enqueue(ended{c, server, o})
 	}
 }
 
-// leave tells the scheduler that nobody waits for the call any more, unless it
-// was told already that the call is over.
-func (s *Server) leave(c *call) {
+// cancelCall tells the scheduler that nobody waits for the call any more, unless
+// the scheduler already knows that the call ended.
+func (s *Server) cancelCall(c *call) {
 	if !c.ended.Swap(true) {
-		s.tell(left{c})
+		s.enqueue(canceled{c})
 	}
 }
 
-// withoutURL returns what went wrong without the address that was asked for: a
-// service's path or query may hold what a log must not.
-func withoutURL(err error) error {
+// stripURL removes the requested URL from an error: a service's path or query may
+// hold data that must not be logged.
+func stripURL(err error) error {
 	var e *url.Error
 	if errors.As(err, &e) {
 		return e.Err
@@ -184,8 +188,8 @@
 	return err
 }
 
-// failureOf returns what a platform error says. One that says nothing may have
-// taken effect.
+// failureOf returns the failure that a platform error describes. An error of any
+// other type counts as one that may have taken effect.
 func failureOf(err error) decide.Failure {
 	var e *infra.Error
 	if errors.As(err, &e) {
@@ -194,12 +198,12 @@
 	return decide.Failure{Reason: infra.ReasonProtocol, Effect: infra.EffectUnknown}
 }
 
-// conclude counts and logs how a request ended.
-func (s *Server) conclude(c *call, p *api.Problem) {
+// logEnd counts and logs how a request ended.
+func (s *Server) logEnd(c *call, p *api.Problem) {
 	fields := logrus.Fields{
 		"request":  c.id,
-		"partner":  c.who.partner,
-		"caller":   c.who.caller,
+		"partner":  c.sender.partner,
+		"caller":   c.sender.caller,
 		"server":   c.server.ID,
 		"total_ms": time.Since(c.arrived).Milliseconds(),
 	}
--- a/caller/server.go
+++ b/caller/server.go
@@ -19,8 +19,8 @@
 	"greengageferry/supervise"
 )
 
-// Server is the callers' side of one entry instance. Its handler serves while
-// Run runs its duties.
+// Server serves callers' requests on one entry instance. The handler answers
+// requests while Run runs the server's duties, which are long-running goroutines.
 type Server struct {
 	opts     Options
 	metrics  *metrics
@@ -28,22 +28,23 @@
 	keyrings keyrings
 
 	table    atomic.Pointer[decide.Table]
-	newTable chan struct{} // one place: only the newest table counts
+	newTable chan struct{} // capacity 1: signals that table changed; only the newest table counts
 
-	ring    chan event // to the dispatcher; what happens when it is full: offer, tell, hint
-	stopped chan struct{}
+	queue   chan event    // to the dispatcher; see tryEnqueue, enqueue and enqueueHint for a full queue
+	stopped chan struct{} // closed when Run ends with its context
 	stop    sync.Once
 
-	answers *kept
-	results *outbox[*record.ClaimResult] // full: see report
-	crashes *outbox[*record.Crash]       // full: see reportCrash
-	cancels *outbox[cancelOrder]         // full: see cancelAttempt
-	flights *flights
-	inHand  *inHand
-	known   atomic.Int64 // requests that the dispatcher knows
+	answers       *answerCache
+	results       *outbox[*record.ClaimResult] // see reportResult for a full queue
+	crashes       *outbox[*record.Crash]       // see reportCrash for a full queue
+	cancels       *outbox[cancelRequest]       // see cancelAttempt for a full queue
+	serverTracker *serverTracker
+	workTracker   *workTracker
+	knownRequests atomic.Int64 // requests that the dispatcher tracks
 }
 
-// New returns a server. It serves once Run runs and SetTable was called.
+// New returns a server. The server accepts requests once Run is running and
+// SetTable was called.
 func New(o Options) (*Server, error) {
 	if err := o.check(); err != nil {
 		return nil, err
@@ -53,46 +54,46 @@
 		o.Rand = rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	}
 	if o.Observer == nil {
-		o.Observer = noObserver{}
+		o.Observer = nopObserver{}
 	}
 	s := &Server{
-		opts:     o,
-		metrics:  newMetrics(o.Metrics),
-		rng:      &lockedRand{rng: o.Rand},
-		newTable: make(chan struct{}, 1),
-		ring:     make(chan event, o.Limits.Ring),
-		stopped:  make(chan struct{}),
-		answers:  newKept(o.Limits.KeptBytes, o.Limits.AnswerBytes),
-		flights:  newFlights(),
-		inHand:   newInHand(),
+		opts:          o,
+		metrics:       newMetrics(o.Metrics),
+		rng:           &lockedRand{rng: o.Rand},
+		newTable:      make(chan struct{}, 1),
+		queue:         make(chan event, o.Limits.DispatcherQueue),
+		stopped:       make(chan struct{}),
+		answers:       newAnswerCache(o.Limits.AnswerCacheBytes, o.Limits.BufferedAnswerBytes),
+		serverTracker: newServerTracker(),
+		workTracker:   newWorkTracker(),
 	}
 	s.results = &outbox[*record.ClaimResult]{
-		ring: make(chan *record.ClaimResult, o.Limits.Results), atOnce: resultsAtOnce, send: s.sendResult, books: s.inHand, failed: s.outboxPanicked,
+		queue: make(chan *record.ClaimResult, o.Limits.ResultQueue), maxConcurrent: maxConcurrentResults, send: s.sendResult, work: s.workTracker, onPanic: s.logOutboxPanic,
 	}
 	s.crashes = &outbox[*record.Crash]{
-		ring: make(chan *record.Crash, o.Limits.Requests), atOnce: crashesAtOnce, send: s.opts.Quarantine.Crashed, books: s.inHand, failed: s.outboxPanicked,
+		queue: make(chan *record.Crash, o.Limits.ConcurrentRequests), maxConcurrent: maxConcurrentCrashReports, send: s.opts.Quarantine.ReportCrash, work: s.workTracker, onPanic: s.logOutboxPanic,
 	}
-	s.cancels = &outbox[cancelOrder]{
-		ring: make(chan cancelOrder, o.Limits.CancelsWaiting), atOnce: cancelsAtOnce, send: s.sendCancel, failed: s.outboxPanicked,
+	s.cancels = &outbox[cancelRequest]{
+		queue: make(chan cancelRequest, o.Limits.CancelQueue), maxConcurrent: maxConcurrentCancels, send: s.sendCancel, onPanic: s.logOutboxPanic,
 	}
 	return s, nil
 }
 
-func (s *Server) outboxPanicked(v any) {
+func (s *Server) logOutboxPanic(v any) {
 	s.metrics.count("outbox_panics")
-	s.opts.Log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("message panicked")
+	s.opts.Log.WithFields(logrus.Fields{"panic": v, "stack": string(debug.Stack())}).Error("outbox send panicked")
 }
 
-// Run runs the duties until ctx ends, and returns nil then. If a duty panics
-// it returns a *supervise.PanicError and may be called again: the scheduler starts
-// anew, and requests that waited for it are refused. It is called after Drain
-// and Idle in a graceful shutdown.
+// Run runs the server's duties until ctx ends, and then returns nil. If a duty
+// panics, Run returns a *supervise.PanicError and may be called again: a new
+// scheduler starts, and requests that waited for the old one are refused. In a
+// graceful shutdown, ctx is canceled only after Drain was called and Idle closed.
 func (s *Server) Run(ctx context.Context) error {
 	g, gctx := errgroup.WithContext(ctx)
 	duty := func(name string, run func(context.Context) error) {
 		g.Go(func() error { return supervise.Once(gctx, supervise.Duty{Name: name, Run: run}) })
 	}
-	duty("dispatcher", s.dispatch)
+	duty("dispatcher", s.runDispatcher)
 	duty("results", s.results.run)
 	duty("crashes", s.crashes.run)
 	duty("cancels", s.cancels.run)
@@ -104,38 +105,38 @@
 	return err
 }
 
-// SetTable replaces what is known of the fleet. The table must not change afterwards.
+// SetTable replaces the routing table. The table must not change afterwards.
 func (s *Server) SetTable(t *decide.Table) {
 	s.table.Store(t)
 	select {
 	case s.newTable <- struct{}{}:
-	default: // the dispatcher has yet to take the last one, and will find this
+	default: // a signal is pending; the dispatcher will load this table
 	}
 }
 
-// Reported tells of a backend server's load report, as old as age.
-func (s *Server) Reported(server string, load infra.Load, age time.Duration) {
-	s.hint(reported{server, load, age})
+// ReportLoad passes a backend server's load report of the given age to the scheduler.
+func (s *Server) ReportLoad(server string, load infra.Load, age time.Duration) {
+	s.enqueueHint(loadReported{server, load, age})
 }
 
-// Cached tells of a backend server's cache events.
-func (s *Server) Cached(server string, events []infra.CacheEvent) {
-	s.hint(cached{server, events})
+// ApplyCacheEvents passes a backend server's cache events to the scheduler.
+func (s *Server) ApplyCacheEvents(server string, events []infra.CacheEvent) {
+	s.enqueueHint(cacheChanged{server, events})
 }
 
-// Drain refuses whatever arrives from now on. What was taken in, waiting for a
-// slot included, ends by itself or by its own deadline: to its caller it is in
-// flight.
-func (s *Server) Drain() { s.inHand.drain() }
+// Drain refuses all new requests. Requests already admitted, including those
+// that wait for a slot, run to completion or to their deadline: their callers
+// consider them in flight.
+func (s *Server) Drain() { s.workTracker.drain() }
 
-// Idle is closed once the server is drained, no request is in hand and no
-// claim's result or server's death waits to be told.
-func (s *Server) Idle() <-chan struct{} { return s.inHand.idle }
+// Idle returns a channel that is closed once Drain was called, no request is in
+// flight, and no claim result or crash report is waiting to be sent.
+func (s *Server) Idle() <-chan struct{} { return s.workTracker.idle }
 
-// Handler serves the callers' interface.
+// Handler returns the handler of the callers' HTTP interface.
 func (s *Server) Handler() http.Handler { return http.HandlerFunc(s.serve) }
 
-// lockedRand is a random source that many goroutines draw from.
+// lockedRand is a random source that is safe for concurrent use.
 type lockedRand struct {
 	mu  sync.Mutex
 	rng *rand.Rand
@@ -148,70 +149,71 @@
 	return r.rng.Uint64()
 }
 
-// newID returns an id that no other request or attempt has.
+// newID returns a unique ID for a request or an attempt.
 func newID() string { return uuid.NewString() }
 
-// inHand counts the requests in hand.
-type inHand struct {
+// workTracker counts the requests in flight and the messages waiting to be sent,
+// and signals when none are left after a drain.
+type workTracker struct {
 	mu       sync.Mutex
 	n        int
 	draining bool
 	idle     chan struct{}
 }
 
-func newInHand() *inHand { return &inHand{idle: make(chan struct{})} }
+func newWorkTracker() *workTracker { return &workTracker{idle: make(chan struct{})} }
 
-// admission is whether a request was taken in hand.
+// admission says whether a request was admitted.
 type admission int
 
 const (
-	entered      admission = iota
-	tooMany                // there are most already
-	shuttingDown           // drained: nothing is taken in any more
+	admitted        admission = iota
+	tooManyRequests           // the limit is reached
+	shuttingDown              // draining: no request is admitted
 )
 
-// enter takes a request in hand, unless there are most already.
-func (h *inHand) enter(most int) admission {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if h.draining {
+// admit counts a request unless the limit is reached or the tracker is draining.
+func (t *workTracker) admit(limit int) admission {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.draining {
 		return shuttingDown
 	}
-	if h.n >= most {
-		return tooMany
+	if t.n >= limit {
+		return tooManyRequests
 	}
-	h.n++
-	return entered
+	t.n++
+	return admitted
 }
 
-// hold counts something that must end before the server is idle.
-func (h *inHand) hold() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.n++
+// add counts work that must end before the tracker is idle.
+func (t *workTracker) add() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.n++
 }
 
-func (h *inHand) leave() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.n--
-	h.check()
+func (t *workTracker) done() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.n--
+	t.closeIfIdle()
 }
 
-func (h *inHand) drain() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.draining = true
-	h.check()
+func (t *workTracker) drain() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.draining = true
+	t.closeIfIdle()
 }
 
-func (h *inHand) check() {
-	if !h.draining || h.n > 0 {
+func (t *workTracker) closeIfIdle() {
+	if !t.draining || t.n > 0 {
 		return
 	}
 	select {
-	case <-h.idle:
+	case <-t.idle:
 	default:
-		close(h.idle)
+		close(t.idle)
 	}
 }
--- a/caller/services_test.go
+++ b/caller/services_test.go
@@ -102,7 +102,7 @@
 func TestLongServiceAnswerThatBreaksNeverLooksWhole(t *testing.T) {
 	r := newRig(t)
 	r.services.call = func(context.Context, string, infra.ServiceRequest) (*infra.ServiceAnswer, error) {
-		return &infra.ServiceAnswer{Status: http.StatusOK, Body: io.NopCloser(&breaking{serviceHeld + 1})}, nil
+		return &infra.ServiceAnswer{Status: http.StatusOK, Body: io.NopCloser(&breaking{serviceBufferBytes + 1})}, nil
 	}
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 		r.send(t.Context(), http.MethodGet, "/services/order-desk/orders", "")
@@ -113,7 +113,7 @@
 
 func TestKeyedServiceCallIsReplayed(t *testing.T) {
 	r := newRig(t)
-	key := header{HeaderIdemKey: "k"}
+	key := header{HeaderIdempotencyKey: "k"}
 	first := r.post("/services/order-desk/orders", "two trays", key)
 	again := r.post("/services/order-desk/orders", "two trays", key)
 	require.Equal(t, first.Body.String(), again.Body.String())
@@ -126,7 +126,7 @@
 
 func TestMayRepeatKnowsRulesWithSpaces(t *testing.T) {
 	cfg := config.Service{NonIdempotent: []string{"GET  /tickets/next"}}
-	require.False(t, mayRepeat(http.MethodGet, "/tickets/next", cfg))
-	require.True(t, mayRepeat(http.MethodGet, "/tickets", cfg))
-	require.False(t, mayRepeat(strings.ToUpper("post"), "/", cfg))
+	require.False(t, isIdempotent(http.MethodGet, "/tickets/next", cfg))
+	require.True(t, isIdempotent(http.MethodGet, "/tickets", cfg))
+	require.False(t, isIdempotent(strings.ToUpper("post"), "/", cfg))
 }
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -13,137 +13,141 @@
 	contentEvents = "text/event-stream"
 )
 
-// flushGrace is how long after a request's deadline its last bytes may still
-// take to reach the caller.
-const flushGrace = 5 * time.Second
+// finalWriteTimeout is how long after a request's deadline the last bytes of its
+// answer may take to reach the caller.
+const finalWriteTimeout = 5 * time.Second
 
-// CallerGoneError says that the caller can't be written to any more.
-type CallerGoneError struct{ Err error }
+// CallerDisconnectedError reports that writing to the caller failed.
+type CallerDisconnectedError struct{ Err error }
 
 // Error implements error.
-func (e *CallerGoneError) Error() string { return "the caller is gone: " + e.Err.Error() }
+func (e *CallerDisconnectedError) Error() string { return "caller disconnected: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *CallerGoneError) Unwrap() error { return e.Err }
-
-// sink takes one call's answer to its caller. For a claimed request it keeps a
-// copy as well, and a caller that is gone is no error, so that a resend finds
-// the whole answer.
-type sink struct {
-	w       http.ResponseWriter
-	rc      *http.ResponseController
-	call    *call
-	domain  string // this instance's failure domain
-	started bool
-	unread  bool // the request's body, or a part of it, was not read
-	status  int
-	content string
-
-	keep     bool
-	copied   bytes.Buffer
-	most     int  // bytes that the copy may have
-	overflow bool // the answer is larger: no copy
-	gone     bool // a claimed request's caller is gone
-	broken   bool // a part went out that can't be finished: break the connection
+func (e *CallerDisconnectedError) Unwrap() error { return e.Err }
+
+// response writes one call's answer to its caller. For a claimed request it
+// also copies the answer and ignores a disconnect, so that a later request with
+// the same key finds the complete answer.
+type response struct {
+	w          http.ResponseWriter
+	rc         *http.ResponseController
+	call       *call
+	ownDomain  string // this instance's failure domain
+	started    bool
+	bodyUnread bool // a part of the request's body was not read
+	status     int
+	mediaType  string
+
+	keepCopy     bool
+	copied       bytes.Buffer
+	maxCopyBytes int  // of copied
+	copyOverflow bool // the answer exceeds maxCopyBytes, so there is no copy
+	disconnected bool // a claimed request's caller disconnected
+	mustAbort    bool // a partly written answer can't be completed; the connection must be aborted
 }
 
-func (s *Server) newSink(w http.ResponseWriter, c *call) *sink {
-	return &sink{
-		w:      w,
-		rc:     http.NewResponseController(w),
-		call:   c,
-		domain: s.opts.FailureDomain,
-		most:   s.opts.Limits.AnswerBytes,
+func (s *Server) newResponse(w http.ResponseWriter, c *call) *response {
+	return &response{
+		w:            w,
+		rc:           http.NewResponseController(w),
+		call:         c,
+		ownDomain:    s.opts.FailureDomain,
+		maxCopyBytes: s.opts.Limits.BufferedAnswerBytes,
 	}
 }
 
-// start sends the answer's head.
-func (k *sink) start(status int, contentType string) {
-	k.started = true
-	k.status = status
-	k.content = contentType
-	h := k.w.Header()
-	setOrigin(h, k.call.id, k.call.server.FailureDomain, k.call.server.ID, k.domain)
+// writeHeader sends the answer's status and headers.
+func (rw *response) writeHeader(status int, contentType string) {
+	rw.started = true
+	rw.status = status
+	rw.mediaType = contentType
+	h := rw.w.Header()
+	setOriginHeaders(h, rw.call.id, rw.call.server.FailureDomain, rw.call.server.ID, rw.ownDomain)
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
 	}
 	if contentType == contentEvents {
 		h.Set("Cache-Control", "no-cache")
 	}
-	// A caller that reads nothing must not hold the request past its deadline.
-	_ = k.rc.SetWriteDeadline(k.call.deadline.Add(flushGrace)) // not all writers have one
-	k.w.WriteHeader(status)
+	// A caller that does not read must not hold the request past its deadline.
+	_ = rw.rc.SetWriteDeadline(rw.call.deadline.Add(finalWriteTimeout)) // not all writers support deadlines
+	rw.w.WriteHeader(status)
 }
 
-// write sends a piece of the answer. Its error is a *CallerGoneError.
-func (k *sink) write(b []byte) error {
-	if k.keep {
-		k.copy(b)
+// write sends a part of the answer. Its error is a *CallerDisconnectedError.
+func (rw *response) write(b []byte) error {
+	if rw.keepCopy {
+		rw.copy(b)
 	}
-	if k.gone {
+	if rw.disconnected {
 		return nil
 	}
-	if _, err := k.w.Write(b); err != nil {
-		return k.lost(err)
+	if _, err := rw.w.Write(b); err != nil {
+		return rw.writeFailed(err)
 	}
 	return nil
 }
 
-// flush sends what was written on its way.
-func (k *sink) flush() error {
-	if k.gone {
+// flush sends buffered data to the caller.
+func (rw *response) flush() error {
+	if rw.disconnected {
 		return nil
 	}
-	if err := k.rc.Flush(); err != nil {
-		return k.lost(err)
+	if err := rw.rc.Flush(); err != nil {
+		return rw.writeFailed(err)
 	}
 	return nil
 }
 
-func (k *sink) lost(err error) error {
-	if k.keep {
-		k.gone = true
+// writeFailed handles a failed write. For a claimed request it records the
+// disconnect and returns nil.
+func (rw *response) writeFailed(err error) error {
+	if rw.keepCopy {
+		rw.disconnected = true
 		return nil
 	}
-	return &CallerGoneError{Err: err}
+	return &CallerDisconnectedError{Err: err}
 }
 
-func (k *sink) copy(b []byte) {
-	if k.overflow || k.copied.Len()+len(b) > k.most {
-		k.overflow = true
-		k.copied = bytes.Buffer{}
+func (rw *response) copy(b []byte) {
+	if rw.copyOverflow || rw.copied.Len()+len(b) > rw.maxCopyBytes {
+		rw.copyOverflow = true
+		rw.copied = bytes.Buffer{}
 		return
 	}
-	k.copied.Write(b)
+	rw.copied.Write(b)
 }
 
-// problem sends a problem as the whole answer.
-func (k *sink) problem(p *api.Problem) {
-	if k.unread { // else the server would read the rest before it answers
-		k.w.Header().Set("Connection", "close")
+// problem sends a problem as the answer.
+func (rw *response) problem(p *api.Problem) {
+	if rw.bodyUnread { // otherwise net/http would read the rest before answering
+		rw.w.Header().Set("Connection", "close")
 	}
-	p.SetHeaders(k.w.Header())
-	k.start(p.Status, contentJSON)
-	_ = k.write(p.JSON(k.call.id)) // a caller that is gone needs no answer
+	p.SetHeaders(rw.w.Header())
+	rw.writeHeader(p.Status, contentJSON)
+	_ = rw.write(p.JSON(rw.call.id)) // a disconnected caller needs no answer
 }
 
-// answer returns what was sent, for resends. It says false if there is no copy.
-func (k *sink) answer() (Answer, bool) {
-	if k.overflow || k.broken {
+// answerCopy returns the answer that was written, or false if there is no complete
+// copy.
+func (rw *response) answerCopy() (Answer, bool) {
+	if rw.copyOverflow || rw.mustAbort {
 		return Answer{}, false
 	}
 	return Answer{
-		Request:       k.call.id,
-		Status:        k.status,
-		ContentType:   k.content,
-		Body:          k.copied.Bytes(),
-		FailureDomain: k.call.server.FailureDomain,
-		Server:        k.call.server.ID,
+		Request:       rw.call.id,
+		Status:        rw.status,
+		ContentType:   rw.mediaType,
+		Body:          rw.copied.Bytes(),
+		FailureDomain: rw.call.server.FailureDomain,
+		Server:        rw.call.server.ID,
 	}, true
 }
 
-// setOrigin sets the headers that say where an answer is from.
-func setOrigin(h http.Header, request, domain, server, ownDomain string) {
+// setOriginHeaders sets the headers that identify the request and the server that
+// answered it.
+func setOriginHeaders(h http.Header, request, domain, server, ownDomain string) {
 	if server == "" {
 		domain, server = ownDomain, NoServer
 	}
--- a/caller/stall.go
+++ b/caller/stall.go
@@ -10,52 +10,55 @@
 	"greengageferry/internal/stall"
 )
 
-// The limits on a server's silence. They are for a server that freezes or whose
-// network is cut while the connection stays open: without them its requests
-// would be held until their deadlines. They apply only where the request may be
-// dispatched again; a non-idempotent one waits on, since its answer may still come.
+// Timeouts for a server that sends nothing. They detect a server that hangs or is
+// cut off while its connection stays open; without them its requests would wait
+// until their deadlines. They apply only to requests that may be dispatched again.
+// A non-idempotent request keeps waiting, since its answer may still arrive.
 const (
-	// stallTokens is how many times its target between tokens a stream may be
-	// silent: at full batches tokens take a few times their target, never that.
-	stallTokens = 80
-	// stallLeast is 80 times a target of 37 ms: a faster model's server gets as
-	// long, since a pause of its host's doesn't scale with the model.
-	stallLeast = 3 * time.Second
-	// firstPart is the part of the time left until the deadline in which the
-	// first token must come: the rest is enough for one more attempt, and half
-	// of what then is left for another.
-	firstPart = 3
-	// firstLeast and firstMost bound that: a server may hold a short queue, and
-	// none holds one of 15 s, as requests wait in this instance instead.
-	firstLeast = 2 * time.Second
-	firstMost  = 15 * time.Second
-	// servicePart is the part of the time left in which a plain service's first
-	// answer must come, on its first attempt only: a call may well be slow.
-	servicePart = 2
+	// tokenGapFactor is the longest gap between tokens, as a multiple of the
+	// target. With full batches tokens take a few times their target, but never
+	// this long.
+	tokenGapFactor = 80
+	// minTokenGapTimeout is 80 times a target of 37 ms. Servers of faster models
+	// get the same time, since a pause of the host doesn't scale with the model.
+	minTokenGapTimeout = 3 * time.Second
+	// firstTokenTimeoutDivisor divides the time left until the deadline: the first
+	// token must arrive within a third of it. The rest is enough for one more
+	// attempt, and half of what is left then for another.
+	firstTokenTimeoutDivisor = 3
+	// minFirstAnswerTimeout and maxFirstTokenTimeout bound that time. A server may
+	// have a short queue, but none of 15 s, since requests wait in this instance
+	// instead.
+	minFirstAnswerTimeout = 2 * time.Second
+	maxFirstTokenTimeout  = 15 * time.Second
+	// serviceTimeoutDivisor divides the time left until the deadline: a plain
+	// service must start its answer within half of it. This applies only to the
+	// first attempt, since a call may legitimately be slow.
+	serviceTimeoutDivisor = 2
 )
 
-// judge returns the error of an attempt under the context, which is the stall if
-// there was one. That nothing ran is still believed.
-func judge(ctx context.Context, e *attemptError) *attemptError {
+// asStall returns the error of an attempt that ran under the watchdog's context. If
+// the watchdog ended the attempt, that is the stall with the effect of e.
+func asStall(ctx context.Context, e *attemptError) *attemptError {
 	var silent *stall.Error
-	if e == nil || e.gone || e.final != nil || !errors.As(context.Cause(ctx), &silent) {
+	if e == nil || e.disconnected || e.final != nil || !errors.As(context.Cause(ctx), &silent) {
 		return e
 	}
 	failure := decide.Failure{Reason: infra.ReasonTimeout, Effect: e.failure.Effect}
 	return &attemptError{failure: failure, err: silent}
 }
 
-// firstLimit is how long a server may take for its first token.
-func (c *call) firstLimit(now time.Time) time.Duration {
-	return min(max(c.deadline.Sub(now)/firstPart, firstLeast), firstMost)
+// firstTokenTimeout returns how long a server may take for the first token.
+func (c *call) firstTokenTimeout(now time.Time) time.Duration {
+	return min(max(c.deadline.Sub(now)/firstTokenTimeoutDivisor, minFirstAnswerTimeout), maxFirstTokenTimeout)
 }
 
-// stallLimit is how long a server may be silent between tokens.
-func (c *call) stallLimit() time.Duration {
-	return max(stallTokens*c.target.PerToken, stallLeast)
+// tokenGapTimeout returns how long a server may take between two tokens.
+func (c *call) tokenGapTimeout() time.Duration {
+	return max(tokenGapFactor*c.target.PerToken, minTokenGapTimeout)
 }
 
-// serviceLimit is how long a plain service may take to begin its answer.
-func (c *call) serviceLimit(now time.Time) time.Duration {
-	return max(c.deadline.Sub(now)/servicePart, firstLeast)
+// serviceTimeout returns how long a plain service may take to start its answer.
+func (c *call) serviceTimeout(now time.Time) time.Duration {
+	return max(c.deadline.Sub(now)/serviceTimeoutDivisor, minFirstAnswerTimeout)
 }
--- a/entry/holding.go
+++ b/entry/holding.go
@@ -45,7 +45,7 @@
 		view:    i.domains.ownFollower().View,
 		engine:  i.opts.Platform.Engine,
 		report:  i.missing.found,
-		booted:  i.caller.Booted,
+		booted:  i.caller.UpdateBoot,
 		metrics: i.vars("patrol"),
 	}
 }
@@ -189,7 +189,7 @@
 }
 
 // Reported implements caller.Observer.
-func (o *observer) Reported(server string, load infra.Load) {
+func (o *observer) ReportLoad(server string, load infra.Load) {
 	o.loads.Seen(time.Now(), server, load)
 }
 
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -52,7 +52,7 @@
 // run serves until ctx ends, and then closes the address.
 func (l *listener) run(ctx context.Context) error {
 	server := &http.Server{Handler: l.handler}
-	caller.Configure(server)
+	caller.ConfigureHTTPServer(server)
 	served := make(chan error, 1)
 	go func() { served <- server.Serve(l.net) }()
 	select {
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -64,7 +64,7 @@
 
 // Crashed implements caller.Quarantine. It returns once the crash is on the log
 // or can't be put there.
-func (q *quarantine) Crashed(ctx context.Context, c *record.Crash) {
+func (q *quarantine) ReportCrash(ctx context.Context, c *record.Crash) {
 	ctx, cancel := context.WithTimeout(ctx, crashReportTime)
 	defer cancel()
 	_, err := q.appender.Append(ctx, infra.StreamQuarantine, &record.Record{Body: &record.Record_Crash{Crash: c}})
--- a/entry/wiring.go
+++ b/entry/wiring.go
@@ -181,9 +181,9 @@
 		},
 		Observer: &observer{meter: i.meter, loads: i.loads, domainOf: i.domainOf, table: i.table.Load, missing: i.missing.found, used: i.hints.used},
 		Limits: caller.Limits{
-			BodyBytes: int(s.Limits.MaxBodyBytes),
-			Requests:  s.Limits.MaxInFlight,
-			KeptBytes: int(s.Limits.AnswerBytes),
+			BodyBytes:          int(s.Limits.MaxBodyBytes),
+			ConcurrentRequests: s.Limits.MaxInFlight,
+			AnswerCacheBytes:   int(s.Limits.AnswerBytes),
 		},
 		Log:     i.log,
 		Metrics: i.vars("caller"),
@@ -193,7 +193,7 @@
 		return err
 	}
 	i.caller = callers
-	i.hints.cached = callers.Cached
+	i.hints.cached = callers.ApplyCacheEvents
 	return nil
 }
 
