--- a/caller/api/answer.go
+++ b/caller/api/answer.go
@@ -6,45 +6,48 @@
 	"time"
 )
 
-// Head is what every piece of one answer bears.
-type Head struct {
+// AnswerInfo holds the fields common to all parts of one answer.
+type AnswerInfo struct {
 	Kind    Kind
-	Request string // the request's id
-	Model   string // as the caller named it
+	Request string // the request's ID
+	Model   string // as named by the caller
 	Created time.Time
 }
 
-// id returns the answer's id, as OpenAI clients expect it.
-func (h *Head) id() string {
-	if h.Kind == Chat {
-		return "chatcmpl-" + h.Request
+// id returns the answer's ID in the format that OpenAI clients expect.
+func (i *AnswerInfo) id() string {
+	if i.Kind == Chat {
+		return "chatcmpl-" + i.Request
 	}
-	return "cmpl-" + h.Request
+	return "cmpl-" + i.Request
 }
 
-// Usage counts an answer's tokens. Prompts are counted in bytes by nobody here
-// and in tokens only by engines, which don't tell: PromptTokens is 0.
+// Usage holds the token counts of an answer. PromptTokens is always 0: only engines
+// count prompt tokens, and they do not report the count.
 type Usage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 	TotalTokens      int `json:"total_tokens"`
 }
 
-type turn struct {
+// answerMessage is a chat message in an answer, or a part of one in a stream.
+type answerMessage struct {
 	Role    string  `json:"role,omitempty"`
 	Content *string `json:"content,omitempty"`
 }
 
+// choice is the single choice of an answer or of a chunk.
 type choice struct {
-	Index        int     `json:"index"`
-	Text         *string `json:"text,omitempty"`
-	Message      *turn   `json:"message,omitempty"`
-	Delta        *turn   `json:"delta,omitempty"`
-	Logprobs     *int    `json:"logprobs"` // always null
-	FinishReason *string `json:"finish_reason"`
+	Index        int            `json:"index"`
+	Text         *string        `json:"text,omitempty"`
+	Message      *answerMessage `json:"message,omitempty"`
+	Delta        *answerMessage `json:"delta,omitempty"`
+	Logprobs     *int           `json:"logprobs"` // always null
+	FinishReason *string        `json:"finish_reason"`
 }
 
-type answer struct {
+// answerBody is the JSON form of a complete answer or of one chunk of a stream.
+type answerBody struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
 	Created int64    `json:"created"`
@@ -53,29 +56,31 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Whole returns the JSON of a whole answer that isn't streamed.
-func (h *Head) Whole(text, finish string, tokens int) []byte {
-	a := answer{
-		ID:      h.id(),
+// JSON returns the JSON of a complete answer that is not streamed. tokens is the
+// number of tokens in text.
+func (i *AnswerInfo) JSON(text, finish string, tokens int) []byte {
+	a := answerBody{
+		ID:      i.id(),
 		Object:  "text_completion",
-		Created: h.Created.Unix(),
-		Model:   h.Model,
+		Created: i.Created.Unix(),
+		Model:   i.Model,
 		Choices: []choice{{Text: &text, FinishReason: &finish}},
 		Usage:   &Usage{CompletionTokens: tokens, TotalTokens: tokens},
 	}
-	if h.Kind == Chat {
+	if i.Kind == Chat {
 		a.Object = "chat.completion"
-		a.Choices[0] = choice{Message: &turn{Role: "assistant", Content: &text}, FinishReason: &finish}
+		a.Choices[0] = choice{Message: &answerMessage{Role: "assistant", Content: &text}, FinishReason: &finish}
 	}
 	var b bytes.Buffer
-	encode(&b, &a)
+	encodeAnswer(&b, &a)
 	return bytes.TrimSuffix(b.Bytes(), []byte("\n"))
 }
 
-func encode(b *bytes.Buffer, a *answer) {
+// encodeAnswer writes the answer's JSON and a newline, without escaping HTML.
+func encodeAnswer(b *bytes.Buffer, a *answerBody) {
 	enc := json.NewEncoder(b)
 	enc.SetEscapeHTML(false)
 	if err := enc.Encode(a); err != nil {
-		panic(err) // strings and integers always have a JSON form
+		panic(err) // strings and integers can always be encoded
 	}
 }
--- a/caller/api/canonical.go
+++ b/caller/api/canonical.go
@@ -5,8 +5,8 @@
 	"encoding/json"
 )
 
-// Canonical returns a JSON text with its members sorted and without spaces:
-// equal for two encodings of one request. Numbers are kept as written. Its
+// Canonical returns the JSON text with sorted members and without whitespace, so that
+// different encodings of one request compare equal. Numbers stay as written. Its
 // error is a *Problem.
 func Canonical(body []byte) ([]byte, error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
--- a/caller/api/chat.go
+++ b/caller/api/chat.go
@@ -5,22 +5,24 @@
 	"strings"
 )
 
-type message struct {
+// requestMessage is a message of a chat request.
+type requestMessage struct {
 	Role    string          `json:"role"`
 	Content json.RawMessage `json:"content"`
 }
 
+// contentPart is one part of a message whose content is a list.
 type contentPart struct {
 	Type string `json:"type"`
 	Text string `json:"text"`
 }
 
-// roles are the roles that a chat's messages may have.
+// roles holds the allowed roles of chat messages.
 var roles = map[string]bool{"system": true, "developer": true, "user": true, "assistant": true}
 
-// chatPrompt puts a chat's messages into one prompt: "role: content" for each,
-// a line apart, and the assistant's turn left open.
-func chatPrompt(messages []message) (string, error) {
+// chatPrompt joins a chat's messages into one prompt: a line "role: content" for each
+// message, followed by "assistant:" for the model to continue.
+func chatPrompt(messages []requestMessage) (string, error) {
 	if len(messages) == 0 {
 		return "", Invalid(CodeBadField, "messages is missing or empty")
 	}
@@ -42,7 +44,8 @@
 	return b.String(), nil
 }
 
-// contentText returns a message's text, which is a string or a list of text parts.
+// contentText returns the text of a message's content, which is a string or a list
+// of text parts. It returns false for any other content.
 func contentText(raw json.RawMessage) (string, bool) {
 	if len(raw) == 0 || string(raw) == "null" {
 		return "", false
--- a/caller/api/events.go
+++ b/caller/api/events.go
@@ -5,83 +5,86 @@
 	"encoding/json"
 )
 
-// Done is the event that ends a whole stream. A stream without it isn't whole.
-const Done = "data: [DONE]\n\n"
+// DoneEvent is the event that ends a complete stream. A stream without it is
+// incomplete.
+const DoneEvent = "data: [DONE]\n\n"
 
-// Events encodes the server-sent events of one streamed answer. It has one
-// owner; each event returned is valid until the next call.
-type Events struct {
-	buf    bytes.Buffer
-	enc    *json.Encoder
-	piece  answer
-	choice [1]choice
-	delta  turn
-	text   string
-	chat   bool
-	first  bool
+// EventEncoder encodes the server-sent events of one streamed answer. It reuses its
+// buffer: each returned event is valid until the next call. It is not safe for
+// concurrent use.
+type EventEncoder struct {
+	buf        bytes.Buffer
+	enc        *json.Encoder
+	chunk      answerBody
+	choice     [1]choice
+	delta      answerMessage
+	text       string
+	chat       bool
+	firstToken bool
 }
 
-// NewEvents returns the encoder of a stream's events.
-func NewEvents(h *Head) *Events {
-	e := &Events{chat: h.Kind == Chat, first: true}
+// NewEventEncoder returns an encoder for the stream of the given answer.
+func NewEventEncoder(info *AnswerInfo) *EventEncoder {
+	e := &EventEncoder{chat: info.Kind == Chat, firstToken: true}
 	e.enc = json.NewEncoder(&e.buf)
 	e.enc.SetEscapeHTML(false)
-	e.piece = answer{ID: h.id(), Object: "text_completion", Created: h.Created.Unix(), Model: h.Model}
+	e.chunk = answerBody{ID: info.id(), Object: "text_completion", Created: info.Created.Unix(), Model: info.Model}
 	if e.chat {
-		e.piece.Object = "chat.completion.chunk"
+		e.chunk.Object = "chat.completion.chunk"
 	}
-	e.piece.Choices = e.choice[:]
+	e.chunk.Choices = e.choice[:]
 	return e
 }
 
-// Token returns the event that bears one token.
-func (e *Events) Token(token string) []byte {
+// Token returns the event that carries one token.
+func (e *EventEncoder) Token(token string) []byte {
 	e.text = token
 	if !e.chat {
 		e.choice[0] = choice{Text: &e.text}
-		return e.event()
+		return e.encode()
 	}
-	e.delta = turn{Content: &e.text}
-	if e.first {
+	e.delta = answerMessage{Content: &e.text}
+	if e.firstToken {
 		e.delta.Role = "assistant"
-		e.first = false
+		e.firstToken = false
 	}
 	e.choice[0] = choice{Delta: &e.delta}
-	return e.event()
+	return e.encode()
 }
 
-// Finish returns the event that says why the stream ended.
-func (e *Events) Finish(finish string) []byte {
+// Finish returns the event with the finish reason.
+func (e *EventEncoder) Finish(finish string) []byte {
 	e.text = ""
 	e.choice[0] = choice{Text: &e.text, FinishReason: &finish}
 	if e.chat {
-		e.delta = turn{}
+		e.delta = answerMessage{}
 		e.choice[0] = choice{Delta: &e.delta, FinishReason: &finish}
 	}
-	return e.event()
+	return e.encode()
 }
 
-// Usage returns the event that tells the token counts; it has no choices.
-func (e *Events) Usage(tokens int) []byte {
-	e.piece.Choices = []choice{}
-	e.piece.Usage = &Usage{CompletionTokens: tokens, TotalTokens: tokens}
-	return e.event()
+// Usage returns the event with the token counts; its choices are empty.
+func (e *EventEncoder) Usage(tokens int) []byte {
+	e.chunk.Choices = []choice{}
+	e.chunk.Usage = &Usage{CompletionTokens: tokens, TotalTokens: tokens}
+	return e.encode()
 }
 
-// Problem returns the event that ends a stream which can't be finished.
-func (e *Events) Problem(p *Problem, request string) []byte {
+// Problem returns the error event that ends a stream that cannot be completed.
+func (e *EventEncoder) Problem(p *Problem, requestID string) []byte {
 	e.buf.Reset()
 	e.buf.WriteString("data: ")
-	e.buf.Write(p.JSON(request))
+	e.buf.Write(p.JSON(requestID))
 	e.buf.WriteString("\n\n")
 	return e.buf.Bytes()
 }
 
-func (e *Events) event() []byte {
+// encode returns the current chunk as an event.
+func (e *EventEncoder) encode() []byte {
 	e.buf.Reset()
 	e.buf.WriteString("data: ")
-	if err := e.enc.Encode(&e.piece); err != nil {
-		panic(err) // strings and integers always have a JSON form
+	if err := e.enc.Encode(&e.chunk); err != nil {
+		panic(err) // strings and integers can always be encoded
 	}
 	e.buf.WriteByte('\n')
 	return e.buf.Bytes()
--- a/caller/api/fuzz_test.go
+++ b/caller/api/fuzz_test.go
@@ -58,17 +58,17 @@
 	f.Add("\n\ndata: [DONE]\n\n", false)
 	f.Add("</script>\u2028\"\\", true)
 	f.Fuzz(func(t *testing.T, token string, chat bool) {
-		h := &Head{Kind: Completion, Request: "r", Model: "m"}
+		h := &AnswerInfo{Kind: Completion, Request: "r", Model: "m"}
 		if chat {
 			h.Kind = Chat
 		}
-		e := NewEvents(h)
+		e := NewEventEncoder(h)
 		for range 2 { // the second piece bears no role
 			event := e.Token(token)
 			require.True(t, bytes.HasPrefix(event, []byte("data: {")))
 			require.True(t, bytes.HasSuffix(event, []byte("}\n\n")))
 			require.Equal(t, 2, bytes.Count(event, []byte("\n")))
-			var got answer
+			var got answerBody
 			require.NoError(t, json.Unmarshal(event[len("data: "):], &got))
 			text := got.Choices[0].Text
 			if chat {
--- a/caller/api/problem.go
+++ b/caller/api/problem.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// Outcome is what a caller may conclude from an error about its request.
+// Outcome tells a caller whether its failed request may have run.
 type Outcome string
 
-// The outcomes of requests that got no answer.
+// The outcomes of failed requests.
 const (
-	// OutcomeNotRun: no byte of any attempt can have reached a backend server,
-	// or the server itself said that it refused the request before starting.
+	// OutcomeNotRun means that no byte of any attempt can have reached a backend
+	// server, or that the server itself refused the request before starting it.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown: anything else.
+	// OutcomeUnknown means that the request may have run.
 	OutcomeUnknown Outcome = "unknown"
 )
 
-// Type is the coarse class of a problem, as OpenAI clients know them.
+// Type is the general class of a problem, in the terms of OpenAI clients.
 type Type string
 
 // The types of problems.
@@ -34,18 +34,18 @@
 	TypeServer     Type = "server_error"
 )
 
-// Problem is the typed error that a caller receives. Its JSON form is
+// Problem is the error that a caller receives. Its JSON form is
 //
 //	{"error":{"type","code","message","outcome","retry_after_ms","request_id"}}
 type Problem struct {
-	Status     int // HTTP status
+	Status     int // HTTP status code
 	Type       Type
-	Code       string // one of the codes listed for operators
-	Message    string // for people
+	Code       string // machine-readable; see the Code constants
+	Message    string // human-readable
 	Outcome    Outcome
-	RetryAfter time.Duration // when to come back; 0: asking again won't help, or no time is known
-	// Again says whether the same request may be sent again without risk.
-	Again bool
+	RetryAfter time.Duration // 0 if a retry would not help or no time is known
+	// Retryable says whether the same request can safely be sent again.
+	Retryable bool
 }
 
 // Error implements error.
@@ -53,7 +53,7 @@
 	return fmt.Sprintf("%s (%s): %s", p.Code, p.Outcome, p.Message)
 }
 
-// Invalid returns the problem of a request that can't be accepted as it is.
+// Invalid returns the problem of a request that cannot be accepted as it is.
 func Invalid(code, format string, args ...any) *Problem {
 	return &Problem{
 		Status:  http.StatusBadRequest,
@@ -77,29 +77,29 @@
 	Error problemBody `json:"error"`
 }
 
-// JSON returns the problem's JSON form for the request with the given id.
-func (p *Problem) JSON(request string) []byte {
+// JSON returns the problem's JSON form for the request with the given ID.
+func (p *Problem) JSON(requestID string) []byte {
 	body, err := json.Marshal(problemEnvelope{problemBody{
 		Type:         p.Type,
 		Code:         p.Code,
 		Message:      p.Message,
 		Outcome:      p.Outcome,
 		RetryAfterMS: p.RetryAfter.Milliseconds(),
-		RequestID:    request,
+		RequestID:    requestID,
 	}})
 	if err != nil {
-		panic(err) // strings and an integer always have a JSON form
+		panic(err) // strings and integers can always be encoded
 	}
 	return body
 }
 
-// SetHeaders sets the headers that say whether and when to ask again.
-// X-Should-Retry and Retry-After-Ms are read by OpenAI's client libraries.
+// SetHeaders sets the headers that say whether and when to retry. OpenAI's client
+// libraries read X-Should-Retry and Retry-After-Ms.
 func (p *Problem) SetHeaders(h http.Header) {
 	if p.RetryAfter > 0 {
 		seconds := (p.RetryAfter + time.Second - 1) / time.Second
 		h.Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
 		h.Set("Retry-After-Ms", strconv.FormatInt(p.RetryAfter.Milliseconds(), 10))
 	}
-	h.Set("X-Should-Retry", strconv.FormatBool(p.Again && p.RetryAfter > 0))
+	h.Set("X-Should-Retry", strconv.FormatBool(p.Retryable && p.RetryAfter > 0))
 }
--- a/caller/api/request.go
+++ b/caller/api/request.go
@@ -7,7 +7,7 @@
 	"io"
 )
 
-// Kind says which of the two model interfaces a request came through.
+// Kind is the model interface that a request uses.
 type Kind int
 
 // The kinds of model requests.
@@ -16,36 +16,37 @@
 	Chat
 )
 
-// Request is a parsed and checked model request.
+// Request is a parsed and validated model request.
 type Request struct {
 	Kind         Kind
-	Model        string // a model's or an adapter's name
-	Prompt       string // a chat's messages as one prompt
-	MaxTokens    int    // 0: the model's most
+	Model        string // name of a model or an adapter
+	Prompt       string // for a chat, its messages joined into one prompt
+	MaxTokens    int    // 0 for the model's limit
 	Stream       bool
-	IncludeUsage bool // a stream tells its token counts in a last chunk
+	IncludeUsage bool // a stream ends with a chunk of token counts
 	Seed         *uint64
 }
 
-// The codes of problems with a body.
+// The codes of problems with a request body.
 const (
-	CodeBadJSON     = "bad_json"
-	CodeBadField    = "bad_field"
-	CodeUnsupported = "unsupported_field"
+	CodeBadJSON          = "bad_json"
+	CodeBadField         = "bad_field"
+	CodeUnsupportedField = "unsupported_field"
 )
 
-// fields are the members of a request's body that matter. Members that would
-// change the answer but that no engine honours are kept raw, to be refused.
-// Sampling hints that engines don't take are ignored, as are unknown members.
-type fields struct {
-	Model               string          `json:"model"`
-	Prompt              json.RawMessage `json:"prompt"`
-	Messages            []message       `json:"messages"`
-	MaxTokens           *int            `json:"max_tokens"`
-	MaxCompletionTokens *int            `json:"max_completion_tokens"`
-	Stream              bool            `json:"stream"`
-	StreamOptions       *streamOptions  `json:"stream_options"`
-	Seed                *int64          `json:"seed"`
+// requestBody holds the members of a request's body that are used or checked. Members
+// that would change the answer but that no engine supports are decoded only so that
+// they can be refused. Sampling parameters that engines don't support are ignored,
+// as are unknown members.
+type requestBody struct {
+	Model               string           `json:"model"`
+	Prompt              json.RawMessage  `json:"prompt"`
+	Messages            []requestMessage `json:"messages"`
+	MaxTokens           *int             `json:"max_tokens"`
+	MaxCompletionTokens *int             `json:"max_completion_tokens"`
+	Stream              bool             `json:"stream"`
+	StreamOptions       *streamOptions   `json:"stream_options"`
+	Seed                *int64           `json:"seed"`
 
 	N              *int            `json:"n"`
 	BestOf         *int            `json:"best_of"`
@@ -67,20 +68,20 @@
 	Type string `json:"type"`
 }
 
-// Parse reads a model request's body. Its error is a *Problem.
+// Parse decodes and validates a model request's body. Its error is a *Problem.
 func Parse(kind Kind, body []byte) (*Request, error) {
-	f, err := decode(body)
+	f, err := decodeRequest(body)
 	if err != nil {
 		return nil, err
 	}
-	if name := f.unsupported(); name != "" {
-		return nil, Invalid(CodeUnsupported, "%s is not supported", name)
+	if name := f.unsupportedField(); name != "" {
+		return nil, Invalid(CodeUnsupportedField, "%s is not supported", name)
 	}
 	r := &Request{Kind: kind, Model: f.Model, Stream: f.Stream}
 	if r.Model == "" {
 		return nil, Invalid(CodeBadField, "model is missing")
 	}
-	if r.Prompt, err = f.promptOf(kind); err != nil {
+	if r.Prompt, err = f.buildPrompt(kind); err != nil {
 		return nil, err
 	}
 	if r.MaxTokens, err = f.maxTokens(); err != nil {
@@ -96,9 +97,10 @@
 	return r, nil
 }
 
-func decode(body []byte) (*fields, error) {
+// decodeRequest decodes a body that is exactly one JSON object.
+func decodeRequest(body []byte) (*requestBody, error) {
 	dec := json.NewDecoder(bytes.NewReader(body))
-	f := new(fields)
+	f := new(requestBody)
 	if err := dec.Decode(f); err != nil {
 		return nil, decodeProblem(err)
 	}
@@ -108,21 +110,23 @@
 	return f, nil
 }
 
-// decodeProblem names the place of the fault, and never quotes the body.
+// decodeProblem returns the problem of a JSON error. It names the position of the
+// error and never quotes the body.
 func decodeProblem(err error) *Problem {
-	var typed *json.UnmarshalTypeError
-	if errors.As(err, &typed) && typed.Field != "" {
-		return Invalid(CodeBadField, "%s must not be a JSON %s", typed.Field, typed.Value)
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) && typeErr.Field != "" {
+		return Invalid(CodeBadField, "%s must not be a JSON %s", typeErr.Field, typeErr.Value)
 	}
-	var syntax *json.SyntaxError
-	if errors.As(err, &syntax) {
-		return Invalid(CodeBadJSON, "the body is no JSON at byte %d", syntax.Offset)
+	var syntaxErr *json.SyntaxError
+	if errors.As(err, &syntaxErr) {
+		return Invalid(CodeBadJSON, "the body is no JSON at byte %d", syntaxErr.Offset)
 	}
 	return Invalid(CodeBadJSON, "the body is no JSON object")
 }
 
-// unsupported returns the name of a member that asks for what no engine gives.
-func (f *fields) unsupported() string {
+// unsupportedField returns the name of a member that requests something that no
+// engine supports, or an empty string.
+func (f *requestBody) unsupportedField() string {
 	switch {
 	case f.N != nil && *f.N != 1:
 		return "n"
@@ -149,7 +153,7 @@
 	return ""
 }
 
-// isDefault says whether a member that isn't supported asks for nothing.
+// isDefault reports whether an unsupported member has a value that requests nothing.
 func isDefault(raw json.RawMessage) bool {
 	switch string(raw) {
 	case "", "null", "false", "[]", "{}", `""`:
@@ -158,7 +162,9 @@
 	return false
 }
 
-func (f *fields) maxTokens() (int, error) {
+// maxTokens returns the requested limit of tokens, or 0 if there is none.
+// max_completion_tokens takes precedence over max_tokens.
+func (f *requestBody) maxTokens() (int, error) {
 	n := f.MaxTokens
 	if f.MaxCompletionTokens != nil {
 		n = f.MaxCompletionTokens
@@ -172,22 +178,22 @@
 	return *n, nil
 }
 
-func (f *fields) promptOf(kind Kind) (string, error) {
+func (f *requestBody) buildPrompt(kind Kind) (string, error) {
 	if kind == Chat {
 		return chatPrompt(f.Messages)
 	}
 	return completionPrompt(f.Prompt)
 }
 
-// completionPrompt accepts a string or an array of one string.
+// completionPrompt returns a prompt that is a string or an array of one string.
 func completionPrompt(raw json.RawMessage) (string, error) {
-	var one string
-	if len(raw) > 0 && json.Unmarshal(raw, &one) == nil && string(raw) != "null" {
-		return one, nil
+	var single string
+	if len(raw) > 0 && json.Unmarshal(raw, &single) == nil && string(raw) != "null" {
+		return single, nil
 	}
-	var many []string
-	if json.Unmarshal(raw, &many) == nil && len(many) == 1 {
-		return many[0], nil
+	var list []string
+	if json.Unmarshal(raw, &list) == nil && len(list) == 1 {
+		return list[0], nil
 	}
 	return "", Invalid(CodeBadField, "prompt must be a string or an array of one string")
 }
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -227,7 +227,7 @@
 // bufferedEncoder collects the tokens of an answer that is not streamed.
 type bufferedEncoder struct {
 	response *response
-	head     api.Head
+	head     api.AnswerInfo
 	text     strings.Builder
 	maxBytes int // of text
 }
@@ -241,7 +241,7 @@
 }
 
 func (r *bufferedEncoder) finish(f infra.Finish, tokens int) error {
-	body := r.head.Whole(r.text.String(), string(f), tokens)
+	body := r.head.JSON(r.text.String(), string(f), tokens)
 	r.response.writeHeader(http.StatusOK, contentJSON)
 	return r.response.write(body)
 }
@@ -251,7 +251,7 @@
 // streamEncoder sends each token immediately, as a server-sent event.
 type streamEncoder struct {
 	response     *response
-	events       *api.Events
+	events       *api.EventEncoder
 	includeUsage bool // send the token counts in a last chunk
 }
 
@@ -266,7 +266,7 @@
 			return err
 		}
 	}
-	return r.send([]byte(api.Done))
+	return r.send([]byte(api.DoneEvent))
 }
 
 // fail ends a stream that has started with an error event, so that it cannot be
--- a/caller/keyed.go
+++ b/caller/keyed.go
@@ -203,7 +203,7 @@
 		return c.disconnectedProblem()
 	}
 	p := c.problem(http.StatusGatewayTimeout, api.TypeTimeout, CodeFirstStillRunning, "the first request with this key has not ended yet", shortRetryAfter)
-	p.Again = true // a retry finds the first request and runs nothing
+	p.Retryable = true // a retry finds the first request and runs nothing
 	return p
 }
 
--- a/caller/models.go
+++ b/caller/models.go
@@ -188,9 +188,9 @@
 	if req.Seed != nil {
 		j.seed = *req.Seed
 	}
-	head := api.Head{Kind: req.Kind, Request: c.id, Model: req.Model, Created: c.arrived}
+	head := api.AnswerInfo{Kind: req.Kind, Request: c.id, Model: req.Model, Created: c.arrived}
 	if req.Stream {
-		j.encoder = &streamEncoder{response: rw, events: api.NewEvents(&head), includeUsage: req.IncludeUsage}
+		j.encoder = &streamEncoder{response: rw, events: api.NewEventEncoder(&head), includeUsage: req.IncludeUsage}
 	} else {
 		j.encoder = &bufferedEncoder{response: rw, head: head, maxBytes: s.opts.Limits.BufferedAnswerBytes}
 	}
--- a/caller/problems.go
+++ b/caller/problems.go
@@ -66,7 +66,7 @@
 		Message:    message,
 		Outcome:    api.OutcomeNotRun,
 		RetryAfter: after,
-		Again:      true,
+		Retryable:  true,
 	}
 }
 
@@ -106,7 +106,7 @@
 	if c.mayHaveRun {
 		p.Outcome = api.OutcomeUnknown
 	}
-	p.Again = p.Outcome == api.OutcomeNotRun || c.idempotent
+	p.Retryable = p.Outcome == api.OutcomeNotRun || c.idempotent
 	return p
 }
 
