--- a/caller/api/fuzz_test.go
+++ b/caller/api/fuzz_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzParse checks that each body is either refused as not run, in a typed form
-// that doesn't quote it, or gives a request that the rest can rely on.
+// FuzzParse checks that each body is either refused with a typed problem as not run, or
+// parsed into a valid request whose canonical form parses to the same request.
 func FuzzParse(f *testing.F) {
 	for _, seed := range []string{
 		`{"model":"m","prompt":"p","max_tokens":3,"stream":true}`,
@@ -47,12 +47,11 @@
 		require.Equal(t, string(once), string(twice))
 		again, err := Parse(kind, once)
 		require.NoError(t, err)
-		require.Equal(t, r, again, "the canonical form asks for the same")
+		require.Equal(t, r, again, "the canonical form is the same request")
 	})
 }
 
-// FuzzEvents checks that no token can end a stream's event early, or change
-// what another piece says.
+// FuzzEvents checks that no token can end its event early or change another event.
 func FuzzEvents(f *testing.F) {
 	f.Add("token", true)
 	f.Add("\n\ndata: [DONE]\n\n", false)
@@ -63,7 +62,7 @@
 			h.Kind = Chat
 		}
 		e := NewEventEncoder(h)
-		for range 2 { // the second piece bears no role
+		for range 2 { // the second chunk has no role
 			event := e.Token(token)
 			require.True(t, bytes.HasPrefix(event, []byte("data: {")))
 			require.True(t, bytes.HasSuffix(event, []byte("}\n\n")))
@@ -74,7 +73,7 @@
 			if chat {
 				text = got.Choices[0].Delta.Content
 			}
-			require.Equal(t, string([]rune(token)), *text) // JSON has no bytes outside UTF-8
+			require.Equal(t, string([]rune(token)), *text) // invalid UTF-8 is replaced in JSON
 			require.Nil(t, got.Choices[0].FinishReason)
 		}
 	})
--- a/caller/bench_test.go
+++ b/caller/bench_test.go
@@ -20,8 +20,9 @@
 
 const benchTokens = 32
 
-// httpEngine serves the platform's HTTP form of an engine: it sends each token
-// at once. With hold it sends one token and waits for its reader to go.
+// httpEngine serves the platform's HTTP interface of an engine and sends each token
+// immediately. With hold it sends one token and then waits for the client to
+// disconnect.
 func httpEngine(hold bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != infra.PathGenerate {
@@ -46,26 +47,26 @@
 	}
 }
 
-// bench is an entry instance's callers' side in front of one HTTP engine, and a
-// client of each.
-type bench struct {
-	rig    *rig
-	client *http.Client
-	engine *httptest.Server
-	entry  *httptest.Server
-	body   []byte
-	direct []byte
+// streamBench runs the callers' side of an entry instance in front of one HTTP engine,
+// and a client that reaches the engine directly or through the entry instance.
+type streamBench struct {
+	harness *harness
+	client  *http.Client
+	engine  *httptest.Server
+	entry   *httptest.Server
+	body    []byte
+	direct  []byte
 }
 
-func newBench(b *testing.B, hold bool, tokens int) *bench {
+func newStreamBench(b *testing.B, hold bool, tokens int) *streamBench {
 	transport := &http.Transport{MaxIdleConnsPerHost: 2000}
 	b.Cleanup(transport.CloseIdleConnections)
-	x := &bench{client: &http.Client{Transport: transport}}
+	x := &streamBench{client: &http.Client{Transport: transport}}
 	x.engine = httptest.NewServer(httpEngine(hold))
 	b.Cleanup(x.engine.Close)
 	backend := &http.Transport{MaxIdleConnsPerHost: 2000}
 	b.Cleanup(backend.CloseIdleConnections)
-	x.rig = newRig(b, func(o *Options) { o.Engine = infra.NewHTTPEngine(&http.Client{Transport: backend}) })
+	x.harness = newHarness(b, func(o *Options) { o.Engine = infra.NewHTTPEngine(&http.Client{Transport: backend}) })
 	t := testTable()
 	t.Servers = []decide.Server{{ID: "e0", Addr: x.engine.Listener.Addr().String(), Pool: "p", FailureDomain: "dock-hall-a", Slots: 1 << 20}}
 	for _, target := range t.Targets {
@@ -73,14 +74,14 @@
 		target.MaxTokens = 1 << 20
 		target.Timeout = 5 * time.Minute
 	}
-	x.rig.SetTable(t)
-	x.entry = x.rig.listen(b)
+	x.harness.SetTable(t)
+	x.entry = x.harness.listen(b)
 	x.body = []byte(fmt.Sprintf(`{"model":"tray","prompt":"p","stream":true,"max_tokens":%d}`, tokens))
 	x.direct, _ = json.Marshal(infra.GenerateRequest{Attempt: newID(), Model: "tray", Prompt: "p", MaxTokens: tokens})
 	return x
 }
 
-func (x *bench) open(b *testing.B, viaEntry bool) *http.Response {
+func (x *streamBench) open(b *testing.B, viaEntry bool) *http.Response {
 	url, body := "http://"+x.engine.Listener.Addr().String()+infra.PathGenerate, x.direct
 	if viaEntry {
 		url, body = x.entry.URL+pathCompletions, x.body
@@ -94,35 +95,35 @@
 	return resp
 }
 
-func (x *bench) whole(b *testing.B, viaEntry bool) {
+func (x *streamBench) readStream(b *testing.B, viaEntry bool) {
 	resp := x.open(b, viaEntry)
 	_, err := io.Copy(io.Discard, resp.Body)
 	require.NoError(b, err)
 	require.NoError(b, resp.Body.Close())
 }
 
-// BenchmarkEntryAdds measures what an entry instance adds to a streamed request
-// of 32 tokens over asking the engine directly, both in one run, in turn. All
-// of it, client and engine included, runs in this process.
-func BenchmarkEntryAdds(b *testing.B) {
-	x := newBench(b, false, benchTokens)
+// BenchmarkEntryOverhead measures the latency and allocations that an entry instance
+// adds to a streamed request of 32 tokens, compared with a direct request to the
+// engine. Both alternate in one run. Client and engine run in the same process.
+func BenchmarkEntryOverhead(b *testing.B) {
+	x := newStreamBench(b, false, benchTokens)
 	var times [2]*hdrhistogram.Histogram
 	var allocs [2]uint64
-	for way := range times {
-		times[way] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
-		x.whole(b, way == 1)
+	for variant := range times {
+		times[variant] = hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
+		x.readStream(b, variant == 1)
 	}
 	b.ResetTimer()
 	for range b.N {
-		for way := range times {
+		for variant := range times {
 			var before, after runtime.MemStats
 			runtime.ReadMemStats(&before)
 			began := time.Now()
-			x.whole(b, way == 1)
+			x.readStream(b, variant == 1)
 			took := time.Since(began)
 			runtime.ReadMemStats(&after)
-			allocs[way] += after.Mallocs - before.Mallocs
-			_ = times[way].RecordValue(took.Microseconds())
+			allocs[variant] += after.Mallocs - before.Mallocs
+			_ = times[variant].RecordValue(took.Microseconds())
 		}
 	}
 	b.StopTimer()
@@ -135,23 +136,22 @@
 	b.ReportMetric(float64(allocs[0])/float64(b.N), "direct-allocs/req")
 }
 
-// BenchmarkOpenStreams measures the memory that 1,000 streams take which are
-// open and wait for their next token: through the entry instance, less what as
-// many opened directly take.
+// BenchmarkOpenStreams measures the memory of 1,000 open streams that wait for their
+// next token: through the entry instance, minus that of as many direct streams.
 func BenchmarkOpenStreams(b *testing.B) {
 	const streams = 1000
 	for range b.N {
 		var used [2]float64
-		for way := range used {
-			x := newBench(b, true, benchTokens)
+		for variant := range used {
+			x := newStreamBench(b, true, benchTokens)
 			before := memoryInUse()
 			open := make([]*http.Response, streams)
 			for i := range open {
-				open[i] = x.open(b, way == 1)
-				_, err := io.ReadFull(open[i].Body, make([]byte, 16)) // the first token has come
+				open[i] = x.open(b, variant == 1)
+				_, err := io.ReadFull(open[i].Body, make([]byte, 16)) // the first token arrived
 				require.NoError(b, err)
 			}
-			used[way] = (memoryInUse() - before) / streams
+			used[variant] = (memoryInUse() - before) / streams
 			for _, resp := range open {
 				require.NoError(b, resp.Body.Close())
 			}
@@ -161,6 +161,7 @@
 	}
 }
 
+// memoryInUse returns the bytes of heap and stacks in use after a garbage collection.
 func memoryInUse() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -169,58 +170,58 @@
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// BenchmarkToken measures the time of one token of a long stream: directly, and
-// through the entry instance. With -cpu 1 the difference is what it costs one
-// core.
+// BenchmarkToken measures the time per token of a long stream, directly and through
+// the entry instance. With -cpu 1 the difference is the entry instance's CPU time.
 func BenchmarkToken(b *testing.B) {
-	for way, name := range []string{"direct", "entry"} {
+	for variant, name := range []string{"direct", "entry"} {
 		b.Run(name, func(b *testing.B) {
-			x := newBench(b, false, b.N)
+			x := newStreamBench(b, false, b.N)
 			b.ReportAllocs()
 			b.ResetTimer()
-			x.whole(b, way == 1)
+			x.readStream(b, variant == 1)
 		})
 	}
 }
 
-// discard is a caller that takes everything.
-type discard struct{ h http.Header }
+// discardWriter is a response writer that discards the body.
+type discardWriter struct{ h http.Header }
 
-func (d *discard) Header() http.Header         { return d.h }
-func (d *discard) Write(p []byte) (int, error) { return len(p), nil }
-func (d *discard) WriteHeader(int)             {}
-func (d *discard) Flush()                      {}
+func (d *discardWriter) Header() http.Header         { return d.h }
+func (d *discardWriter) Write(p []byte) (int, error) { return len(p), nil }
+func (d *discardWriter) WriteHeader(int)             {}
+func (d *discardWriter) Flush()                      {}
 
-// BenchmarkOwnToken measures a token's way through this package alone.
-func BenchmarkOwnToken(b *testing.B) {
-	r := newRig(b)
+// BenchmarkTokenWithFakeEngine measures the time per token in this package alone.
+func BenchmarkTokenWithFakeEngine(b *testing.B) {
+	r := newHarness(b)
 	t := testTable()
 	t.Targets["tray"].MaxTokens = 1 << 30
 	r.SetTable(t)
 	r.engine.generate = func(ctx ctxT, _ string, req infra.GenerateRequest) (infra.Stream, error) {
-		return &endless{attempt: req.Attempt, most: req.MaxTokens}, nil
+		return &endlessStream{attempt: req.Attempt, tokens: req.MaxTokens}, nil
 	}
 	body := fmt.Sprintf(`{"model":"tray","prompt":"p","stream":true,"max_tokens":%d}`, max(b.N, 1))
 	req := httptest.NewRequest(http.MethodPost, pathCompletions, bytes.NewReader([]byte(body)))
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	b.ReportAllocs()
 	b.ResetTimer()
-	r.Handler().ServeHTTP(&discard{http.Header{}}, req)
+	r.Handler().ServeHTTP(&discardWriter{http.Header{}}, req)
 }
 
-type endless struct {
+// endlessStream is a stream that yields the given number of tokens and then its end marker.
+type endlessStream struct {
 	attempt string
 	next    int
-	most    int
+	tokens  int
 }
 
-func (e *endless) Recv() (infra.Event, error) {
+func (e *endlessStream) Recv() (infra.Event, error) {
 	ev := infra.Event{Attempt: e.attempt, Index: e.next, Token: "token "}
-	if e.next == e.most {
+	if e.next == e.tokens {
 		ev.Token, ev.Finish = "", infra.FinishLength
 	}
 	e.next++
 	return ev, nil
 }
 
-func (e *endless) Close() error { return nil }
+func (e *endlessStream) Close() error { return nil }
--- a/caller/conn_test.go
+++ b/caller/conn_test.go
@@ -12,9 +12,9 @@
 	"greengageferry/infra"
 )
 
-// Requests one after another share the connection to their server: a new one
-// for each would cost a round trip and a port.
-func TestConnectionToTheServerIsKept(t *testing.T) {
+// Sequential requests reuse the connection to their server: a new connection for each
+// would cost a round trip and a port.
+func TestServerConnectionIsReused(t *testing.T) {
 	var conns atomic.Int32
 	engine := httptest.NewUnstartedServer(httpEngine(false))
 	engine.Config.ConnState = func(_ net.Conn, s http.ConnState) {
@@ -26,7 +26,7 @@
 	t.Cleanup(engine.Close)
 	transport := &http.Transport{MaxIdleConnsPerHost: 10}
 	t.Cleanup(transport.CloseIdleConnections)
-	r := newRig(t, func(o *Options) { o.Engine = infra.NewHTTPEngine(&http.Client{Transport: transport}) })
+	r := newHarness(t, func(o *Options) { o.Engine = infra.NewHTTPEngine(&http.Client{Transport: transport}) })
 	table := testTable()
 	for i := range table.Servers {
 		table.Servers[i].Addr = engine.Listener.Addr().String()
@@ -35,7 +35,7 @@
 	r.UpdateBoot("e0", "b")
 	r.UpdateBoot("e1", "b")
 	for range 20 {
-		w := r.post(pathCompletions, streamed)
+		w := r.post(pathCompletions, streamedRequest)
 		require.Equal(t, http.StatusOK, w.Code, w.Body)
 	}
 	require.LessOrEqual(t, conns.Load(), int32(2))
--- a/caller/dispatcher.go
+++ b/caller/dispatcher.go
@@ -25,6 +25,7 @@
 	calls     map[string]*call // calls that the scheduler knows, by request ID
 }
 
+// track adds a call that the scheduler is about to learn of.
 func (d *dispatcher) track(c *call) {
 	d.calls[c.id] = c
 	d.server.knownRequests.Store(int64(len(d.calls)))
@@ -114,6 +115,7 @@
 // was lost in a restart.
 const reasonDispatcherRestarted decide.Reason = CodeDispatcherRestarted
 
+// restartRefusal returns the decision to refuse a request after a restart.
 func restartRefusal(request string) decide.Decision {
 	return decide.Decision{Request: request, Action: decide.ActionRefuse, Reason: reasonDispatcherRestarted, RetryAfter: shortRetryAfter}
 }
--- a/caller/duties_test.go
+++ b/caller/duties_test.go
@@ -17,36 +17,36 @@
 	"greengageferry/supervise"
 )
 
-// faulty is an observer that panics once.
-type faulty struct {
+// panickingObserver is an observer that panics once.
+type panickingObserver struct {
 	nopObserver
-	done atomic.Bool
+	panicked atomic.Bool
 }
 
-func (f *faulty) Decided(string, decide.Decision) {
-	if !f.done.Swap(true) {
+func (f *panickingObserver) Decided(string, decide.Decision) {
+	if !f.panicked.Swap(true) {
 		panic("observer")
 	}
 }
 
-func TestDispatcherThatPanicsIsStartedAgain(t *testing.T) {
+func TestDispatcherRestartsAfterPanic(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newHarness(t)
 		r.stop()
-		s, err := New(func() Options { o := r.opts; o.Observer = &faulty{}; return o }())
+		s, err := New(func() Options { o := r.opts; o.Observer = &panickingObserver{}; return o }())
 		require.NoError(t, err)
 		s.SetTable(testTable())
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- s.Run(ctx) }()
-		second := &rig{Server: s}
+		second := &harness{Server: s}
 		w := second.post(pathCompletions, `{"model":"tray","prompt":"p"}`)
 		requireNotRun(t, w, http.StatusServiceUnavailable, CodeDispatcherRestarted)
 		require.Contains(t, w.Body.String(), "started again")
 		var panicked *supervise.PanicError
 		require.True(t, errors.As(<-ended, &panicked))
 		require.Equal(t, "dispatcher", panicked.Duty)
-		go func() { ended <- s.Run(ctx) }() // as its supervisor does
+		go func() { ended <- s.Run(ctx) }() // as the supervisor does
 		w = second.post(pathCompletions, `{"model":"tray","prompt":"p"}`)
 		require.Equal(t, http.StatusOK, w.Code, w.Body)
 		cancel()
@@ -54,27 +54,29 @@
 	})
 }
 
-// stuck is a caller that stops reading after some writes.
-type stuck struct {
+// blockingRecorder simulates a caller that stops reading after some writes: further
+// writes block until resume is closed.
+type blockingRecorder struct {
 	*httptest.ResponseRecorder
-	left int
-	gate chan struct{}
+	writesLeft int
+	resume     chan struct{}
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	if s.left--; s.left < 0 {
-		<-s.gate
+func (s *blockingRecorder) Write(p []byte) (int, error) {
+	if s.writesLeft--; s.writesLeft < 0 {
+		<-s.resume
 	}
 	return s.ResponseRecorder.Write(p)
 }
 
-// stuckPost sends a request whose caller stops reading until gate is closed.
-func (r *rig) stuckPost(body string, writes int) (w *stuck, done chan struct{}) {
-	return r.stuckRequest(http.MethodPost, pathCompletions, body, writes)
+// postBlocked sends a request whose caller stops reading after some writes until
+// w.resume is closed.
+func (r *harness) postBlocked(body string, writes int) (w *blockingRecorder, done chan struct{}) {
+	return r.sendBlocked(http.MethodPost, pathCompletions, body, writes)
 }
 
-func (r *rig) stuckRequest(method, path, body string, writes int) (w *stuck, done chan struct{}) {
-	w = &stuck{httptest.NewRecorder(), writes, make(chan struct{})}
+func (r *harness) sendBlocked(method, path, body string, writes int) (w *blockingRecorder, done chan struct{}) {
+	w = &blockingRecorder{httptest.NewRecorder(), writes, make(chan struct{})}
 	req := httptest.NewRequest(method, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	done = make(chan struct{})
@@ -85,31 +87,31 @@
 	return w, done
 }
 
-// counted counts what is taken from a stream.
-type counted struct {
+// countingStream counts the calls of Recv.
+type countingStream struct {
 	infra.Stream
-	taken *atomic.Int32
+	received *atomic.Int32
 }
 
-func (c *counted) Recv() (infra.Event, error) {
-	c.taken.Add(1)
+func (c *countingStream) Recv() (infra.Event, error) {
+	c.received.Add(1)
 	return c.Stream.Recv()
 }
 
-func TestCallerThatReadsSlowlyHoldsTheEngine(t *testing.T) {
+func TestSlowCallerAppliesBackpressureToEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		var taken atomic.Int32
+		r := newHarness(t)
+		var received atomic.Int32
 		r.engine.generate = func(ctx ctxT, _ string, req infra.GenerateRequest) (infra.Stream, error) {
-			return &counted{r.engine.stream(ctx, wholeAnswer(req)), &taken}, nil
+			return &countingStream{r.engine.stream(ctx, completeAnswer(req)), &received}, nil
 		}
-		w, done := r.stuckPost(`{"model":"tray","prompt":"p","max_tokens":60,"stream":true}`, 5)
+		w, done := r.postBlocked(`{"model":"tray","prompt":"p","max_tokens":60,"stream":true}`, 5)
 		synctest.Wait()
-		require.EqualValues(t, 6, taken.Load(), "nothing is taken ahead of the caller")
-		close(w.gate)
+		require.EqualValues(t, 6, received.Load(), "no token is read ahead of the caller")
+		close(w.resume)
 		<-done
-		require.Equal(t, text(60), streamText(w.Body.String()))
-		r.empty(t)
+		require.Equal(t, tokenText(60), streamText(w.Body.String()))
+		r.requireDrained(t)
 	})
 }
 
@@ -128,7 +130,7 @@
 		}
 		require.True(t, o.put(1))
 		require.True(t, o.put(2))
-		require.False(t, o.put(3), "a full ring drops")
+		require.False(t, o.put(3), "a full queue drops the message")
 		require.Equal(t, 2, work.n)
 		work.drain()
 		ctx, cancel := context.WithCancel(t.Context())
@@ -142,10 +144,10 @@
 	})
 }
 
-// A request that waits for a slot when the shutdown begins is served.
-func TestDrainServesWhatWaits(t *testing.T) {
+// A request that is queued when the shutdown begins is still served.
+func TestDrainServesQueuedRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
+		r := newHarness(t)
 		table := testTable()
 		table.Servers[0].Slots = 1
 		for _, target := range table.Targets {
@@ -171,6 +173,6 @@
 			w := <-done
 			require.Equal(t, http.StatusOK, w.Code, w.Body)
 		}
-		r.empty(t)
+		r.requireDrained(t)
 	})
 }
--- a/caller/fakes_test.go
+++ b/caller/fakes_test.go
@@ -36,13 +36,13 @@
 
 func (d *fakeDirectory) Config() *config.Config { return d.cfg }
 
-func hashed(key string) string {
+func hashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// fakeEngine answers each Generate by its script. Without one it streams the
-// tokens t0, t1, … up to the request's most.
+// fakeEngine answers Generate with the function generate. If that is nil, it streams
+// the tokens t0, t1, … up to the request's limit.
 type fakeEngine struct {
 	generate func(ctx context.Context, addr string, req infra.GenerateRequest) (infra.Stream, error)
 	status   func(addr string) (infra.ServerStatus, error)
@@ -60,7 +60,7 @@
 	if e.generate != nil {
 		return e.generate(ctx, addr, req)
 	}
-	return e.stream(ctx, wholeAnswer(req)), nil
+	return e.stream(ctx, completeAnswer(req)), nil
 }
 
 func (e *fakeEngine) attempts() []infra.GenerateRequest {
@@ -89,12 +89,15 @@
 	return nil, nil
 }
 
-// wholeAnswer returns the events of a whole answer, after the request's prefix.
-func wholeAnswer(req infra.GenerateRequest) []infra.Event {
-	return answerFrom(req, len(req.Prefix), req.MaxTokens)
+// completeAnswer returns the events of a complete answer that continues after the
+// request's prefix.
+func completeAnswer(req infra.GenerateRequest) []infra.Event {
+	return answerEvents(req, len(req.Prefix), req.MaxTokens)
 }
 
-func answerFrom(req infra.GenerateRequest, from, to int) []infra.Event {
+// answerEvents returns the events of the tokens from (inclusive) to to (exclusive),
+// and the end marker.
+func answerEvents(req infra.GenerateRequest, from, to int) []infra.Event {
 	var events []infra.Event
 	for i := from; i < to; i++ {
 		events = append(events, infra.Event{Attempt: req.Attempt, Index: i, Token: fmt.Sprintf("t%d ", i)})
@@ -102,7 +105,8 @@
 	return append(events, infra.Event{Attempt: req.Attempt, Index: to, Finish: infra.FinishLength})
 }
 
-func text(n int) string {
+// tokenText returns the text of the first n tokens.
+func tokenText(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "t%d ", i)
@@ -110,20 +114,20 @@
 	return b.String()
 }
 
-// scripted is a stream that yields its events and then its end.
-type scripted struct {
+// scriptedStream is a stream that yields its events and then fails with end.
+type scriptedStream struct {
 	engine *fakeEngine
 	ctx    context.Context
 	events []infra.Event
-	end    error // nil: io.EOF
-	block  bool  // wait for ctx to end before the end
+	end    error // nil for io.EOF
+	block  bool  // after the events, wait until ctx ends
 }
 
-func (e *fakeEngine) stream(ctx context.Context, events []infra.Event) *scripted {
-	return &scripted{engine: e, ctx: ctx, events: events}
+func (e *fakeEngine) stream(ctx context.Context, events []infra.Event) *scriptedStream {
+	return &scriptedStream{engine: e, ctx: ctx, events: events}
 }
 
-func (s *scripted) Recv() (infra.Event, error) {
+func (s *scriptedStream) Recv() (infra.Event, error) {
 	if err := s.ctx.Err(); err != nil {
 		return infra.Event{}, &infra.Error{Op: "generate", Reason: infra.ReasonCanceled, Err: err}
 	}
@@ -142,14 +146,15 @@
 	return infra.Event{}, io.EOF
 }
 
-func (s *scripted) Close() error {
+func (s *scriptedStream) Close() error {
 	s.engine.mu.Lock()
 	defer s.engine.mu.Unlock()
 	s.engine.closed++
 	return nil
 }
 
-// fakeServices answers by its script, or 200 with the method and path.
+// fakeServices answers with the function call or, if that is nil, with status 200 and
+// the method and path as the body.
 type fakeServices struct {
 	call func(ctx context.Context, addr string, req infra.ServiceRequest) (*infra.ServiceAnswer, error)
 
@@ -178,12 +183,12 @@
 	return &infra.ServiceAnswer{Status: status, Header: h, Body: io.NopCloser(strings.NewReader(body))}
 }
 
-// fakeClaimer is the log's order in one process: instances share it.
+// fakeClaimer simulates the claims on the log. Several instances can share one.
 type fakeClaimer struct {
 	mu      sync.Mutex
 	claims  map[string]*record.Claim
 	results []*record.ClaimResult
-	verdict claims.Verdict // not zero: the answer to every claim
+	verdict claims.Verdict // if not zero, the verdict on every claim
 }
 
 func (c *fakeClaimer) Claim(_ context.Context, cl *record.Claim) (claims.Standing, error) {
@@ -216,22 +221,22 @@
 	return nil
 }
 
-func (c *fakeClaimer) told() []*record.ClaimResult {
+func (c *fakeClaimer) reportedResults() []*record.ClaimResult {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return append([]*record.ClaimResult(nil), c.results...)
 }
 
 type fakeQuarantine struct {
-	mu      sync.Mutex
-	refused map[[32]byte]bool
-	crashes []*record.Crash
+	mu          sync.Mutex
+	quarantined map[[32]byte]bool
+	crashes     []*record.Crash
 }
 
 func (q *fakeQuarantine) Quarantined(f [32]byte) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return q.refused[f]
+	return q.quarantined[f]
 }
 
 func (q *fakeQuarantine) Suspect(f [32]byte) bool {
@@ -251,7 +256,7 @@
 	q.crashes = append(q.crashes, c)
 }
 
-func (q *fakeQuarantine) reported() []*record.Crash {
+func (q *fakeQuarantine) reportedCrashes() []*record.Crash {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return append([]*record.Crash(nil), q.crashes...)
@@ -265,8 +270,8 @@
 	return a.fetch(ctx, instance, attempt)
 }
 
-// rig is a server over fakes, with its duties running.
-type rig struct {
+// harness is a Server with fake dependencies and running duties.
+type harness struct {
 	*Server
 	engine     *fakeEngine
 	services   *fakeServices
@@ -279,8 +284,8 @@
 func testConfig() *config.Config {
 	return &config.Config{
 		Callers: map[string]config.Caller{
-			"desk":   {Owner: "kitchen", KeySHA256: hashed(testKey)},
-			"parish": {Owner: "instituto", KeySHA256: hashed(otherKey)},
+			"desk":   {Owner: "kitchen", KeySHA256: hashKey(testKey)},
+			"parish": {Owner: "instituto", KeySHA256: hashKey(otherKey)},
 		},
 		Services: map[string]config.Service{
 			"order-desk": {Owner: "kitchen", NonIdempotent: []string{"PUT /orders"}},
@@ -319,7 +324,8 @@
 	}
 }
 
-func withoutReplicas() *decide.Table {
+// tableWithoutReplicas returns the test table with no replica of any target.
+func tableWithoutReplicas() *decide.Table {
 	t := testTable()
 	for _, target := range t.Targets {
 		target.Replicas = nil
@@ -327,6 +333,7 @@
 	return t
 }
 
+// ctxT lets test files use context.Context without importing package context.
 type ctxT = context.Context
 
 func logTo(w io.Writer) logrus.FieldLogger {
@@ -341,11 +348,11 @@
 	return l
 }
 
-// newRig builds a server; change may alter its options first.
-func newRig(t testing.TB, change ...func(*Options)) *rig {
-	r := &rig{
+// newHarness starts a server. The functions in change modify its options first.
+func newHarness(t testing.TB, change ...func(*Options)) *harness {
+	r := &harness{
 		engine: &fakeEngine{}, services: &fakeServices{}, claimer: &fakeClaimer{},
-		quarantine: &fakeQuarantine{refused: map[[32]byte]bool{}}, answers: &fakeAnswers{},
+		quarantine: &fakeQuarantine{quarantined: map[[32]byte]bool{}}, answers: &fakeAnswers{},
 	}
 	o := Options{
 		Instance: "entry-1", FailureDomain: "dock-hall-a", Directory: &fakeDirectory{testConfig()},
@@ -375,12 +382,12 @@
 
 type header map[string]string
 
-// post sends a request to the handler and returns its answer.
-func (r *rig) post(path, body string, headers ...header) *httptest.ResponseRecorder {
+// post sends a POST request to the handler and returns the answer.
+func (r *harness) post(path, body string, headers ...header) *httptest.ResponseRecorder {
 	return r.send(context.Background(), http.MethodPost, path, body, headers...)
 }
 
-func (r *rig) send(ctx context.Context, method, path, body string, headers ...header) *httptest.ResponseRecorder {
+func (r *harness) send(ctx context.Context, method, path, body string, headers ...header) *httptest.ResponseRecorder {
 	req := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	for _, h := range headers {
--- a/caller/fuzz_test.go
+++ b/caller/fuzz_test.go
@@ -12,15 +12,15 @@
 	"greengageferry/config"
 )
 
-// FuzzWishes checks that headers are either refused as not run or within their
-// bounds, and that a mark is never lost.
-func FuzzWishes(f *testing.F) {
+// FuzzRequestOptions checks that header values are either refused as not run or within
+// their bounds, and that a non-idempotent flag is never lost.
+func FuzzRequestOptions(f *testing.F) {
 	f.Add("1000", "3", "true", "key")
 	f.Add("-1", "1e3", "yes", "")
 	f.Add(" 1", "+1", " TRUE ", strings.Repeat("k", 300))
 	s := &Server{opts: Options{Limits: Limits{}.withDefaults()}}
-	f.Fuzz(func(t *testing.T, timeout, priority, mark, key string) {
-		h := http.Header{HeaderTimeout: {timeout}, HeaderPriority: {priority}, HeaderNonIdempotent: {mark}, HeaderIdempotencyKey: {key}}
+	f.Fuzz(func(t *testing.T, timeout, priority, flag, key string) {
+		h := http.Header{HeaderTimeout: {timeout}, HeaderPriority: {priority}, HeaderNonIdempotent: {flag}, HeaderIdempotencyKey: {key}}
 		w, p := s.parseRequestOptions(h)
 		if p != nil {
 			require.Equal(t, api.OutcomeNotRun, p.Outcome)
@@ -31,12 +31,12 @@
 		require.True(t, timeout == "" || w.timeout > 0)
 		require.True(t, w.priority >= MinPriority && w.priority <= MaxPriority)
 		require.Equal(t, key, w.key)
-		require.Equal(t, w.nonIdempotent, strings.EqualFold(strings.TrimSpace(mark), "true"))
+		require.Equal(t, w.nonIdempotent, strings.EqualFold(strings.TrimSpace(flag), "true"))
 	})
 }
 
-// FuzzServicePath checks that no spelling of a path gets round the rule that
-// makes calls below it run at most once.
+// FuzzServicePath checks that no encoding of a path bypasses the rule that makes calls
+// below a configured path non-idempotent.
 func FuzzServicePath(f *testing.F) {
 	f.Add("/services/desk/orders/1")
 	f.Add("/services/desk//orders")
--- a/caller/generate.go
+++ b/caller/generate.go
@@ -227,7 +227,7 @@
 // bufferedEncoder collects the tokens of an answer that is not streamed.
 type bufferedEncoder struct {
 	response *response
-	head     api.AnswerInfo
+	info     api.AnswerInfo
 	text     strings.Builder
 	maxBytes int // of text
 }
@@ -241,7 +241,7 @@
 }
 
 func (r *bufferedEncoder) finish(f infra.Finish, tokens int) error {
-	body := r.head.JSON(r.text.String(), string(f), tokens)
+	body := r.info.JSON(r.text.String(), string(f), tokens)
 	r.response.writeHeader(http.StatusOK, contentJSON)
 	return r.response.write(body)
 }
--- a/caller/generate_test.go
+++ b/caller/generate_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCompletionIsAnsweredWhole(t *testing.T) {
-	r := newRig(t)
+func TestCompletionWithoutStreaming(t *testing.T) {
+	r := newHarness(t)
 	w := r.post("/v1/completions", `{"model":"tray","prompt":"p","max_tokens":3}`)
 	require.Equal(t, http.StatusOK, w.Code, w.Body)
 	require.Contains(t, w.Body.String(), `"text":"t0 t1 t2 "`)
@@ -21,7 +21,7 @@
 }
 
 func TestStreamEndsWithDone(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for _, path := range []string{"/v1/completions", "/v1/chat/completions"} {
 		w := r.post(path, `{"model":"kosher","prompt":"p","messages":[{"role":"user","content":"p"}],"max_tokens":2,"stream":true}`)
 		require.Equal(t, http.StatusOK, w.Code, w.Body)
--- a/caller/keyed_test.go
+++ b/caller/keyed_test.go
@@ -17,22 +17,22 @@
 	"greengageferry/record"
 )
 
-// blockUntil has the engine answer whole once gate is closed.
-func (r *rig) blockUntil(gate <-chan struct{}) {
+// blockUntil makes the engine block until gate is closed and then answer completely.
+func (r *harness) blockUntil(gate <-chan struct{}) {
 	r.engine.generate = func(ctx context.Context, _ string, req infra.GenerateRequest) (infra.Stream, error) {
 		select {
 		case <-gate:
-			return r.engine.stream(ctx, wholeAnswer(req)), nil
+			return r.engine.stream(ctx, completeAnswer(req)), nil
 		case <-ctx.Done():
 			return nil, &infra.Error{Op: "generate", Reason: infra.ReasonCanceled}
 		}
 	}
 }
 
-func TestResendThroughAnotherInstanceWaitsForTheFirst(t *testing.T) {
+func TestRetryThroughAnotherInstanceWaitsForFirstRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first := newRig(t)
-		second := newRig(t, func(o *Options) {
+		first := newHarness(t)
+		second := newHarness(t, func(o *Options) {
 			o.Instance = "entry-2"
 			o.Claimer = first.claimer
 			o.Answers = &fakeAnswers{fetch: func(_ context.Context, instance, attempt string) (Answer, bool, bool, error) {
@@ -49,26 +49,26 @@
 		lost := make(chan *httptest.ResponseRecorder, 1)
 		go func() { lost <- first.send(ctx, http.MethodPost, "/v1/completions", body, key) }()
 		synctest.Wait()
-		leave() // the first's caller leaves; its claimed run goes on
+		leave() // the first request's caller disconnects; the claimed request keeps running
 		resent := make(chan *httptest.ResponseRecorder, 1)
 		go func() { resent <- second.post("/v1/completions", body, key) }()
-		time.Sleep(3 * time.Second) // the bubble's clock: several questions are asked meanwhile
+		time.Sleep(3 * time.Second) // fake clock; the answer is queried several times meanwhile
 		require.Empty(t, resent)
 		close(gate)
 		w := <-resent
 		<-lost
 		require.Equal(t, http.StatusOK, w.Code)
-		require.Contains(t, w.Body.String(), text(4))
+		require.Contains(t, w.Body.String(), tokenText(4))
 		require.Equal(t, "true", w.Header().Get(HeaderReplayed))
 		require.Len(t, first.engine.attempts(), 1)
 		require.Empty(t, second.engine.attempts())
-		first.empty(t)
-		second.empty(t)
+		first.requireDrained(t)
+		second.requireDrained(t)
 	})
 }
 
-func TestResendWhoseFirstIsLostIsUnknown(t *testing.T) {
-	r := newRig(t)
+func TestRetryOfLostFirstRequestHasUnknownOutcome(t *testing.T) {
+	r := newHarness(t)
 	key := digest([]byte("kitchen"), []byte("desk"), []byte("k"))
 	body := `{"model":"tray","prompt":"p"}`
 	canonical, _ := canonicalJSON([]byte(body))
@@ -83,13 +83,13 @@
 	require.Empty(t, r.engine.attempts())
 }
 
-func TestClaimThatIsNotKeptIsNotRun(t *testing.T) {
+func TestRequestWithoutRecordedClaimIsNotRun(t *testing.T) {
 	for verdict, code := range map[claims.Verdict]string{
 		claims.NotKept:   CodeClaimNotKept,
 		claims.Uncertain: CodeClaimUncertain,
 	} {
 		t.Run(code, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.claimer.verdict = verdict
 			w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, header{HeaderIdempotencyKey: "k"})
 			require.Equal(t, http.StatusServiceUnavailable, w.Code)
@@ -97,24 +97,24 @@
 			require.Contains(t, w.Body.String(), `"outcome":"not_run"`)
 			require.Equal(t, "5", w.Header().Get("Retry-After"))
 			require.Empty(t, r.engine.attempts())
-			r.empty(t)
+			r.requireDrained(t)
 			if verdict == claims.Uncertain {
-				require.Equal(t, record.ClaimResult_NOT_RUN, r.claimer.told()[0].Outcome)
+				require.Equal(t, record.ClaimResult_NOT_RUN, r.claimer.reportedResults()[0].Outcome)
 			}
 		})
 	}
 }
 
-func TestClaimedRequestThatDidNotRunFreesItsKey(t *testing.T) {
+func TestClaimedRequestThatDidNotRunReleasesItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.SetTable(withoutReplicas())
+		r := newHarness(t)
+		r.SetTable(tableWithoutReplicas())
 		synctest.Wait()
 		key := header{HeaderIdempotencyKey: "k"}
 		w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, key, header{HeaderTimeout: "100"})
 		require.Contains(t, w.Body.String(), `"outcome":"not_run"`)
 		synctest.Wait()
-		require.Equal(t, record.ClaimResult_NOT_RUN, r.claimer.told()[0].Outcome)
+		require.Equal(t, record.ClaimResult_NOT_RUN, r.claimer.reportedResults()[0].Outcome)
 		r.SetTable(testTable())
 		synctest.Wait()
 		w = r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, key)
@@ -122,10 +122,10 @@
 	})
 }
 
-func TestClaimedRunThatWasCutIsUnknownAndStaysClaimed(t *testing.T) {
+func TestInterruptedClaimedRequestIsUnknownAndStaysClaimed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.onFirst(func(context.Context, infra.GenerateRequest) (infra.Stream, error) { return nil, broke() })
+		r := newHarness(t)
+		r.onFirstAttempt(func(context.Context, infra.GenerateRequest) (infra.Stream, error) { return nil, connectionError() })
 		key := header{HeaderIdempotencyKey: "k"}
 		w := r.post("/v1/completions", `{"model":"tray","prompt":"p"}`, key)
 		require.Contains(t, w.Body.String(), `"outcome":"unknown"`)
@@ -133,57 +133,57 @@
 		require.Equal(t, w.Body.String(), again.Body.String())
 		require.Len(t, r.engine.attempts(), 1)
 		synctest.Wait()
-		require.Equal(t, record.ClaimResult_UNKNOWN, r.claimer.told()[0].Outcome)
+		require.Equal(t, record.ClaimResult_UNKNOWN, r.claimer.reportedResults()[0].Outcome)
 	})
 }
 
-// brokenClaimer is a claimer that panics after the log took the claim.
-type brokenClaimer struct{ *fakeClaimer }
+// panickingClaimer records the claim and then panics.
+type panickingClaimer struct{ *fakeClaimer }
 
-func (b brokenClaimer) Claim(ctx context.Context, c *record.Claim) (claims.Standing, error) {
+func (b panickingClaimer) Claim(ctx context.Context, c *record.Claim) (claims.Standing, error) {
 	_, _ = b.fakeClaimer.Claim(ctx, c)
 	panic("claimer")
 }
 
-func TestResendAfterAPanicLearnsThatTheAnswerIsLost(t *testing.T) {
+func TestRetryAfterPanicFindsAnswerLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRig(t)
-		r.opts.Claimer = brokenClaimer{r.claimer}
+		r := newHarness(t)
+		r.opts.Claimer = panickingClaimer{r.claimer}
 		w := r.post(pathCompletions, `{"model":"tray","prompt":"p"}`, header{HeaderIdempotencyKey: "k"})
 		requireNotRun(t, w, http.StatusInternalServerError, CodeInternal)
 		r.opts.Claimer = r.claimer
 		began := time.Now()
 		w = r.post(pathCompletions, `{"model":"tray","prompt":"p"}`, header{HeaderIdempotencyKey: "k"})
 		require.Contains(t, w.Body.String(), `"code":"first_answer_lost"`)
-		require.Zero(t, time.Since(began), "it is told at once")
-		r.empty(t)
+		require.Zero(t, time.Since(began), "the lost answer is reported at once")
+		r.requireDrained(t)
 	})
 }
 
-func TestKeptAnswersAreBoundedByBytesAndTime(t *testing.T) {
+func TestAnswerCacheIsBoundedByBytesAndAge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		k := newAnswerCache(3*(cacheEntryOverhead+100), 1000)
+		c := newAnswerCache(3*(cacheEntryOverhead+100), 1000)
 		body := []byte(strings.Repeat("x", 100))
 		for i := range 5 {
-			k.begin(strconv.Itoa(i))
-			k.finish(strconv.Itoa(i), Answer{Body: body}, true)
+			c.begin(strconv.Itoa(i))
+			c.finish(strconv.Itoa(i), Answer{Body: body}, true)
 		}
-		_, _, found, _ := k.get("1")
-		require.False(t, found, "the oldest go first")
-		_, finished, found, _ := k.get("2")
+		_, _, found, _ := c.get("1")
+		require.False(t, found, "the oldest answers are evicted first")
+		_, finished, found, _ := c.get("2")
 		require.True(t, finished && found)
-		k.begin("large")
-		k.finish("large", Answer{Body: make([]byte, 1001)}, true)
-		_, finished, found, _ = k.get("large")
+		c.begin("large")
+		c.finish("large", Answer{Body: make([]byte, 1001)}, true)
+		_, finished, found, _ = c.get("large")
 		require.True(t, finished)
 		require.False(t, found)
-		k.begin("running")
+		c.begin("running")
 		time.Sleep(claims.Window)
-		_, _, found, _ = k.get("4")
-		require.False(t, found, "none outlives the window")
-		_, finished, found, _ = k.get("running")
+		_, _, found, _ = c.get("4")
+		require.False(t, found, "no answer is stored longer than the window")
+		_, finished, found, _ = c.get("running")
 		require.True(t, found && !finished)
-		require.Len(t, k.entries, 1)
-		require.Zero(t, k.bytes)
+		require.Len(t, c.entries, 1)
+		require.Zero(t, c.bytes)
 	})
 }
--- a/caller/models.go
+++ b/caller/models.go
@@ -49,6 +49,7 @@
 	return nil
 }
 
+// methodProblem sets the Allow header and returns the problem of a wrong method.
 func methodProblem(rw *response, allowed string) *api.Problem {
 	rw.w.Header().Set("Allow", allowed)
 	return invalid(http.StatusMethodNotAllowed, CodeMethodNotAllowed, "the path takes only "+allowed)
@@ -188,11 +189,11 @@
 	if req.Seed != nil {
 		j.seed = *req.Seed
 	}
-	head := api.AnswerInfo{Kind: req.Kind, Request: c.id, Model: req.Model, Created: c.arrived}
+	info := api.AnswerInfo{Kind: req.Kind, Request: c.id, Model: req.Model, Created: c.arrived}
 	if req.Stream {
-		j.encoder = &streamEncoder{response: rw, events: api.NewEventEncoder(&head), includeUsage: req.IncludeUsage}
+		j.encoder = &streamEncoder{response: rw, events: api.NewEventEncoder(&info), includeUsage: req.IncludeUsage}
 	} else {
-		j.encoder = &bufferedEncoder{response: rw, head: head, maxBytes: s.opts.Limits.BufferedAnswerBytes}
+		j.encoder = &bufferedEncoder{response: rw, info: info, maxBytes: s.opts.Limits.BufferedAnswerBytes}
 	}
 	return j
 }
--- a/caller/openai_test.go
+++ b/caller/openai_test.go
@@ -11,12 +11,12 @@
 	"greengageferry/infra"
 )
 
-func (r *rig) client(t *testing.T) openai.Client {
+func (r *harness) client(t *testing.T) openai.Client {
 	return openai.NewClient(option.WithBaseURL(r.listen(t).URL+"/v1/"), option.WithAPIKey(testKey), option.WithMaxRetries(2))
 }
 
-func TestOfficialClientTalksToIt(t *testing.T) {
-	r := newRig(t)
+func TestOpenAIClientIsSupported(t *testing.T) {
+	r := newHarness(t)
 	client := r.client(t)
 	ctx := t.Context()
 
@@ -32,7 +32,7 @@
 	}
 	whole, err := client.Completions.New(ctx, completion)
 	require.NoError(t, err)
-	require.Equal(t, text(5), whole.Choices[0].Text)
+	require.Equal(t, tokenText(5), whole.Choices[0].Text)
 	require.EqualValues(t, "length", whole.Choices[0].FinishReason)
 	require.EqualValues(t, 5, whole.Usage.CompletionTokens)
 
@@ -42,7 +42,7 @@
 		got += pieces.Current().Choices[0].Text
 	}
 	require.NoError(t, pieces.Err())
-	require.Equal(t, text(5), got)
+	require.Equal(t, tokenText(5), got)
 
 	chat := openai.ChatCompletionNewParams{
 		Model:               "kosher",
@@ -57,21 +57,21 @@
 		require.True(t, acc.AddChunk(stream.Current()))
 	}
 	require.NoError(t, stream.Err())
-	require.Equal(t, text(4), acc.Choices[0].Message.Content)
+	require.Equal(t, tokenText(4), acc.Choices[0].Message.Content)
 	require.EqualValues(t, "assistant", acc.Choices[0].Message.Role)
 	require.EqualValues(t, 4, acc.Usage.CompletionTokens)
 
 	chat.StreamOptions = openai.ChatCompletionStreamOptionsParam{}
 	answer, err := client.Chat.Completions.New(ctx, chat)
 	require.NoError(t, err)
-	require.Equal(t, text(4), answer.Choices[0].Message.Content)
+	require.Equal(t, tokenText(4), answer.Choices[0].Message.Content)
 	require.Equal(t, "system: s\nuser: u\nassistant:", r.engine.attempts()[3].Prompt)
 }
 
-// The library asks again by itself, so it must be told when that is safe.
-func TestOfficialClientDoesNotRepeatWhatMayHaveRun(t *testing.T) {
-	r := newRig(t)
-	r.onFirst(func(ctxT, infra.GenerateRequest) (infra.Stream, error) { return nil, broke() })
+// The client library retries by default, so the answer must say when a retry is safe.
+func TestOpenAIClientDoesNotRetryRequestThatMayHaveRun(t *testing.T) {
+	r := newHarness(t)
+	r.onFirstAttempt(func(ctxT, infra.GenerateRequest) (infra.Stream, error) { return nil, connectionError() })
 	client := r.client(t)
 	_, err := client.Completions.New(t.Context(), openai.CompletionNewParams{
 		Model:  "tray",
@@ -83,11 +83,11 @@
 	require.Len(t, r.engine.attempts(), 1)
 }
 
-func TestOfficialClientSeesACutStreamAsAnError(t *testing.T) {
-	r := newRig(t)
-	r.onFirst(func(ctx ctxT, req infra.GenerateRequest) (infra.Stream, error) {
-		s := r.engine.stream(ctx, answerFrom(req, 0, 3)[:3])
-		s.end = broke()
+func TestOpenAIClientReportsInterruptedStreamAsError(t *testing.T) {
+	r := newHarness(t)
+	r.onFirstAttempt(func(ctx ctxT, req infra.GenerateRequest) (infra.Stream, error) {
+		s := r.engine.stream(ctx, answerEvents(req, 0, 3)[:3])
+		s.end = connectionError()
 		return s, nil
 	})
 	client := r.client(t)
--- a/caller/property_test.go
+++ b/caller/property_test.go
@@ -13,52 +13,52 @@
 	"greengageferry/infra"
 )
 
-// The ways in which an attempt can go.
+// The faults that an attempt can have.
 const (
-	goesWhole = iota
-	isRefused // before it started
-	isLost    // no answer came
-	isCut     // after some tokens
-	hasGap    // a token is missing
-	lacksLast // the last token is missing, the end marker isn't
-	ways
+	faultNone        = iota
+	faultRefused     // refused before starting
+	faultLost        // the connection broke before an answer
+	faultCut         // the connection broke after some tokens
+	faultGap         // one event is missing
+	faultMissingLast // the last token is missing, but not the end marker
+	faultKinds       // the number of faults
 )
 
-const propertyTokens = 6
+const scenarioTokens = 6
 
-// unruly is an engine whose attempts go as drawn, with foreign and repeated
-// events among their own.
-type unruly struct {
-	engine *fakeEngine
-	ways   []int // of the attempts in turn
-	rest   int   // the way of those after the last
-	at     int   // the token at which it happens
-	noise  bool
-	began  int // attempts that were not refused
+// faultyEngine answers attempts with the given faults. With noise it adds events of
+// other attempts and repeats events.
+type faultyEngine struct {
+	engine     *fakeEngine
+	faultKinds []int // faults of the first attempts, in order
+	laterFault int   // fault of all later attempts
+	offset     int   // index of the event at which a fault occurs
+	noise      bool
+	started    int // attempts that were not refused
 }
 
-func (u *unruly) generate(ctx context.Context, _ string, req infra.GenerateRequest) (infra.Stream, error) {
-	way := u.rest
-	if n := len(u.engine.attempts()); n <= len(u.ways) {
-		way = u.ways[n-1]
+func (u *faultyEngine) generate(ctx context.Context, _ string, req infra.GenerateRequest) (infra.Stream, error) {
+	kind := u.laterFault
+	if n := len(u.engine.attempts()); n <= len(u.faultKinds) {
+		kind = u.faultKinds[n-1]
 	}
-	if way == isRefused {
-		return nil, refused(infra.ReasonOverloaded)
+	if kind == faultRefused {
+		return nil, refusalError(infra.ReasonOverloaded)
 	}
-	u.began++
-	if way == isLost {
-		return nil, broke()
+	u.started++
+	if kind == faultLost {
+		return nil, connectionError()
 	}
-	events := wholeAnswer(req)
-	at := min(u.at, len(events)-1)
+	events := completeAnswer(req)
+	offset := min(u.offset, len(events)-1)
 	s := u.engine.stream(ctx, nil)
-	s.end = broke()
-	switch way {
-	case isCut:
-		events = events[:at]
-	case hasGap:
-		events = append(events[:at:at], events[at+1:]...)
-	case lacksLast:
+	s.end = connectionError()
+	switch kind {
+	case faultCut:
+		events = events[:offset]
+	case faultGap:
+		events = append(events[:offset:offset], events[offset+1:]...)
+	case faultMissingLast:
 		last := max(len(events)-2, 0)
 		events = append(events[:last:last], events[len(events)-1])
 	}
@@ -74,71 +74,73 @@
 	return s, nil
 }
 
-// deed is a request and how its attempts go.
-type deed struct {
-	ways  []int
-	rest  int
-	at    int
-	noise bool
-	once  bool // non-idempotent
+// scenario is a request and the faults of its attempts; see faultyEngine.
+type scenario struct {
+	faultKinds    []int
+	laterFault    int
+	offset        int
+	noise         bool
+	nonIdempotent bool
 }
 
-func drawDeed(rt *rapid.T) deed {
-	return deed{
-		ways:  rapid.SliceOfN(rapid.IntRange(0, ways-1), 0, 4).Draw(rt, "ways"),
-		rest:  rapid.SampledFrom([]int{goesWhole, isRefused}).Draw(rt, "rest"),
-		at:    rapid.IntRange(0, propertyTokens).Draw(rt, "at"),
-		noise: rapid.Bool().Draw(rt, "noise"),
-		once:  rapid.Bool().Draw(rt, "non-idempotent"),
+func drawScenario(rt *rapid.T) scenario {
+	return scenario{
+		faultKinds:    rapid.SliceOfN(rapid.IntRange(0, faultKinds-1), 0, 4).Draw(rt, "ways"),
+		laterFault:    rapid.SampledFrom([]int{faultNone, faultRefused}).Draw(rt, "rest"),
+		offset:        rapid.IntRange(0, scenarioTokens).Draw(rt, "at"),
+		noise:         rapid.Bool().Draw(rt, "noise"),
+		nonIdempotent: rapid.Bool().Draw(rt, "non-idempotent"),
 	}
 }
 
-// run sends the request, checks what its caller is told, and returns the outcome.
-func (d deed) run(t *testing.T) string {
-	r := newRig(t)
-	u := &unruly{engine: r.engine, ways: d.ways, rest: d.rest, at: d.at, noise: d.noise}
+// run sends the request, checks the answer, and returns the outcome.
+func (sc scenario) run(t *testing.T) string {
+	r := newHarness(t)
+	u := &faultyEngine{engine: r.engine, faultKinds: sc.faultKinds, laterFault: sc.laterFault, offset: sc.offset, noise: sc.noise}
 	r.engine.generate = u.generate
 	headers := header{}
-	if d.once {
+	if sc.nonIdempotent {
 		headers[HeaderNonIdempotent] = "true"
 	}
-	w := r.post(pathCompletions, streamed, headers)
-	if d.once {
-		require.LessOrEqual(t, u.began, 1, "a non-idempotent request ran again")
+	w := r.post(pathCompletions, streamedRequest, headers)
+	if sc.nonIdempotent {
+		require.LessOrEqual(t, u.started, 1, "a non-idempotent request ran again")
 	}
-	r.empty(t)
-	return checkTold(t, w.Body.String(), u.began)
+	r.requireDrained(t)
+	return checkAnswer(t, w.Body.String(), u.started)
 }
 
-// TestOutcomeIsTrueHoweverAttemptsGo draws how the attempts of a request go, and
-// compares what its caller is told with what the engine saw.
-func TestOutcomeIsTrueHoweverAttemptsGo(t *testing.T) {
+// TestReportedOutcomeMatchesAttempts sends requests with random faults of their attempts
+// and compares the outcome that the caller receives with the attempts that the engine
+// started. It guards against a not_run outcome of a request that ran.
+func TestReportedOutcomeMatchesAttempts(t *testing.T) {
 	seen := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
-		d := drawDeed(rt)
-		synctest.Test(t, func(t *testing.T) { seen[d.run(t)]++ })
+		sc := drawScenario(rt)
+		synctest.Test(t, func(t *testing.T) { seen[sc.run(t)]++ })
 	})
 	for _, outcome := range []string{"complete", "not_run", "unknown"} {
-		require.NotZero(t, seen[outcome], "the draw never led to %s", outcome)
+		require.NotZero(t, seen[outcome], "no scenario had the outcome %s", outcome)
 	}
 }
 
-// checkTold checks what a caller was told against the attempts that began.
-func checkTold(t require.TestingT, body string, began int) string {
+// checkAnswer checks an answer against the number of attempts that started, and returns
+// the outcome.
+func checkAnswer(t require.TestingT, body string, started int) string {
 	require.NotContains(t, body, "FOREIGN")
 	text := streamText(body)
 	if strings.HasSuffix(body, "data: [DONE]\n\n") {
-		require.Equal(t, wholeText, text)
+		require.Equal(t, fullText, text)
 		require.NotContains(t, body, `"error"`)
 		return "complete"
 	}
 	require.NotContains(t, body, "[DONE]")
 	require.NotContains(t, body, `"finish_reason":"`)
-	require.True(t, strings.HasPrefix(wholeText, text), "the tokens given are the answer's first")
+	require.True(t, strings.HasPrefix(fullText, text), "the tokens sent are a prefix of the complete answer")
 	var p problemJSON
 	require.NoError(t, json.Unmarshal([]byte(body[strings.Index(body, `{"error"`):]), &p))
-	require.Equal(t, began == 0, p.Error.Outcome == "not_run", "told %s after %d attempts began", p.Error.Outcome, began)
+	require.Equal(t, started == 0, p.Error.Outcome == "not_run", "outcome %s after %d attempts started", p.Error.Outcome, started)
 	return p.Error.Outcome
 }
 
-var wholeText = text(propertyTokens)
+var fullText = tokenText(scenarioTokens)
--- a/caller/refusals_test.go
+++ b/caller/refusals_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// requireNotRun checks a typed refusal and every header that goes with it.
+// requireNotRun checks that the answer is a typed refusal with outcome not_run and all
+// required headers.
 func requireNotRun(t *testing.T, w *httptest.ResponseRecorder, status int, code string) {
 	t.Helper()
 	require.Equal(t, status, w.Code, w.Body)
@@ -46,7 +47,7 @@
 
 func TestBadInputIsRefusedAsNotRun(t *testing.T) {
 	const good = `{"model":"tray","prompt":"p"}`
-	r := newRig(t, func(o *Options) { o.Limits.BodyBytes = 200 })
+	r := newHarness(t, func(o *Options) { o.Limits.BodyBytes = 200 })
 	for name, tc := range map[string]struct {
 		path, body string
 		headers    header
@@ -88,7 +89,7 @@
 		"timeout is too long": {pathCompletions, good, header{HeaderTimeout: "600001"}, 400, CodeBadTimeout},
 		"priority is a word":  {pathCompletions, good, header{HeaderPriority: "high"}, 400, CodeBadPriority},
 		"priority too high":   {pathCompletions, good, header{HeaderPriority: "11"}, 400, CodeBadPriority},
-		"mark is no bool":     {pathCompletions, good, header{HeaderNonIdempotent: "yes"}, 400, CodeBadNonIdempotent},
+		"flag is no bool":     {pathCompletions, good, header{HeaderNonIdempotent: "yes"}, 400, CodeBadNonIdempotent},
 		"an empty key":        {pathCompletions, good, header{HeaderIdempotencyKey: ""}, 400, CodeBadIdempotencyKey},
 		"a very long key":     {pathCompletions, good, header{HeaderIdempotencyKey: strings.Repeat("k", 256)}, 400, CodeBadIdempotencyKey},
 	} {
@@ -98,13 +99,13 @@
 	}
 	require.Empty(t, r.engine.attempts())
 	require.Empty(t, r.services.calls())
-	r.empty(t)
+	r.requireDrained(t)
 }
 
-// A caller's key and prompt must show neither in logs nor in errors.
-func TestLogsShowNeitherKeyNorPrompt(t *testing.T) {
+// A caller's key and prompt must appear neither in logs nor in errors.
+func TestLogsContainNeitherKeysNorPrompts(t *testing.T) {
 	var log strings.Builder
-	r := newRig(t, func(o *Options) { o.Log = logTo(&log) })
+	r := newHarness(t, func(o *Options) { o.Log = logTo(&log) })
 	const secret = "diabetic passenger 14C"
 	var answers strings.Builder
 	for _, body := range []string{
@@ -114,7 +115,7 @@
 	}
 	r.post(pathCompletions, "", header{"Authorization": "Bearer " + secret})
 	r.services.call = func(_ ctxT, addr string, req infra.ServiceRequest) (*infra.ServiceAnswer, error) {
-		e := broke()
+		e := connectionError()
 		e.Err = &url.Error{Op: req.Method, URL: addr + "?" + secret, Err: io.ErrUnexpectedEOF}
 		return nil, e
 	}
@@ -128,10 +129,10 @@
 }
 
 func TestReadinessAndDrain(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	fresh, err := New(r.opts)
 	require.NoError(t, err)
-	requireNotRun(t, (&rig{Server: fresh}).post(pathCompletions, `{}`), 503, CodeNotReady)
+	requireNotRun(t, (&harness{Server: fresh}).post(pathCompletions, `{}`), 503, CodeNotReady)
 	gate := make(chan struct{})
 	r.blockUntil(gate)
 	running := make(chan *httptest.ResponseRecorder, 1)
@@ -156,16 +157,16 @@
 	close(gate)
 	require.Equal(t, http.StatusOK, (<-running).Code)
 	<-r.Idle()
-	r.empty(t)
+	r.requireDrained(t)
 }
 
-func TestLimitsOfRequestsAndRing(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.ConcurrentRequests = 1; o.Limits.DispatcherQueue = 1 })
+func TestRequestAndQueueLimits(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.ConcurrentRequests = 1; o.Limits.DispatcherQueue = 1 })
 	require.Equal(t, admitted, r.workTracker.admit(1))
 	requireNotRun(t, r.post(pathCompletions, `{}`), 503, CodeTooManyRequests)
 	r.workTracker.done()
 	r.stop()
-	r.queue <- loadReported{} // nobody reads the ring now: it is full
+	r.queue <- loadReported{} // the dispatcher has stopped, so the queue is full now
 	w := r.post(pathCompletions, `{"model":"tray","prompt":"p"}`)
 	requireNotRun(t, w, 503, CodeDispatcherBusy)
 	require.Equal(t, "1", w.Header().Get("Retry-After"))
@@ -173,8 +174,8 @@
 	require.Equal(t, "1", r.counter("hints_dropped"))
 }
 
-// listen serves the handler on loopback, as an entry instance does.
-func (r *rig) listen(t testing.TB) *httptest.Server {
+// listen serves the handler over HTTP on loopback, as an entry instance does.
+func (r *harness) listen(t testing.TB) *httptest.Server {
 	srv := httptest.NewUnstartedServer(r.Handler())
 	ConfigureHTTPServer(srv.Config)
 	srv.Start()
@@ -182,8 +183,8 @@
 	return srv
 }
 
-func TestSlowBodyIsRefusedInTime(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.BodyReadTimeout = 50 * time.Millisecond })
+func TestSlowBodyIsRefused(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.BodyReadTimeout = 50 * time.Millisecond })
 	srv := r.listen(t)
 	conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 	require.NoError(t, err)
@@ -201,9 +202,9 @@
 	require.True(t, resp.Close)
 }
 
-// The answer to a refused request doesn't wait for the rest of its body.
+// A refusal is sent without waiting for the rest of the request's body.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	srv := r.listen(t)
 	conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 	require.NoError(t, err)
@@ -216,31 +217,31 @@
 	require.Equal(t, http.StatusUnauthorized, resp.StatusCode)
 }
 
-func TestConfigureBoundsSlowHeaders(t *testing.T) {
+func TestConfigureHTTPServerLimitsHeaders(t *testing.T) {
 	var h http.Server
 	ConfigureHTTPServer(&h)
 	require.Equal(t, HeaderReadTimeout, h.ReadHeaderTimeout)
 	require.Equal(t, HeaderSizeLimit, h.MaxHeaderBytes)
-	require.Zero(t, h.WriteTimeout, "streams last as long as their requests")
+	require.Zero(t, h.WriteTimeout, "streams may last until the request's deadline")
 }
 
-// A caller that leaves a real connection cancels its work at the server.
-func TestClosedConnectionCancels(t *testing.T) {
-	r := newRig(t)
+// Closing a real connection cancels the attempt at the server.
+func TestClosedConnectionCancelsTheAttempt(t *testing.T) {
+	r := newHarness(t)
 	ended := make(chan struct{})
 	r.engine.generate = func(ctx ctxT, _ string, req infra.GenerateRequest) (infra.Stream, error) {
-		s := r.engine.stream(ctx, answerFrom(req, 0, 1)[:1])
+		s := r.engine.stream(ctx, answerEvents(req, 0, 1)[:1])
 		s.block = true
 		go func() { <-ctx.Done(); close(ended) }()
 		return s, nil
 	}
 	srv := r.listen(t)
-	req, err := http.NewRequest(http.MethodPost, srv.URL+pathCompletions, strings.NewReader(streamed))
+	req, err := http.NewRequest(http.MethodPost, srv.URL+pathCompletions, strings.NewReader(streamedRequest))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	require.NoError(t, err)
-	_, err = bufio.NewReader(resp.Body).ReadString('\n') // the first token has come
+	_, err = bufio.NewReader(resp.Body).ReadString('\n') // the first token arrived
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	<-ended
--- a/caller/services_test.go
+++ b/caller/services_test.go
@@ -13,8 +13,8 @@
 	"greengageferry/infra"
 )
 
-func TestServiceCallIsPassedOn(t *testing.T) {
-	r := newRig(t)
+func TestServiceCallIsForwarded(t *testing.T) {
+	r := newHarness(t)
 	w := r.send(t.Context(), http.MethodPut, "/services/order-desk/trays/a%2Fb?x=1", "body",
 		header{"X-Own": "1", "Connection": "X-Hop", "X-Hop": "1", HeaderPriority: "3"})
 	require.Equal(t, http.StatusOK, w.Code)
@@ -24,32 +24,32 @@
 	got := r.services.calls()[0]
 	require.Equal(t, "body", string(got.Body))
 	require.NotEmpty(t, got.Attempt)
-	require.Equal(t, http.Header{"X-Own": {"1"}}, got.Header, "neither the key nor hop headers go on")
-	r.empty(t)
+	require.Equal(t, http.Header{"X-Own": {"1"}}, got.Header, "neither the key nor hop-by-hop headers are forwarded")
+	r.requireDrained(t)
 }
 
-func TestServiceCallsThatMayNotBeRepeatedRunOnce(t *testing.T) {
+func TestNonIdempotentServiceCallsRunOnce(t *testing.T) {
 	for name, tc := range map[string]struct {
 		method, path string
 		headers      header
 		calls        int
 	}{
-		"GET may":                   {http.MethodGet, "/orders", nil, 2},
-		"DELETE may":                {http.MethodDelete, "/orders/1", nil, 2},
-		"POST may not":              {http.MethodPost, "/orders", nil, 1},
-		"PATCH may not":             {http.MethodPatch, "/orders/1", nil, 1},
-		"configured PUT may not":    {http.MethodPut, "/orders/1", nil, 1},
-		"encoded PUT may not":       {http.MethodPut, "/%6Frders/1", nil, 1},
-		"doubled slashes may not":   {http.MethodPut, "//orders//1", nil, 1},
-		"another PUT may":           {http.MethodPut, "/trays/1", nil, 2},
-		"a marked GET may not":      {http.MethodGet, "/orders", header{HeaderNonIdempotent: "True"}, 1},
-		"an unknown method may not": {"BREW", "/orders", nil, 1},
+		"GET is retried":          {http.MethodGet, "/orders", nil, 2},
+		"DELETE is retried":       {http.MethodDelete, "/orders/1", nil, 2},
+		"POST is not":             {http.MethodPost, "/orders", nil, 1},
+		"PATCH is not":            {http.MethodPatch, "/orders/1", nil, 1},
+		"configured PUT is not":   {http.MethodPut, "/orders/1", nil, 1},
+		"encoded PUT is not":      {http.MethodPut, "/%6Frders/1", nil, 1},
+		"doubled slashes are not": {http.MethodPut, "//orders//1", nil, 1},
+		"another PUT is retried":  {http.MethodPut, "/trays/1", nil, 2},
+		"flagged GET is not":      {http.MethodGet, "/orders", header{HeaderNonIdempotent: "True"}, 1},
+		"unknown method is not":   {"BREW", "/orders", nil, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newHarness(t)
 			r.services.call = func(context.Context, string, infra.ServiceRequest) (*infra.ServiceAnswer, error) {
 				if len(r.services.calls()) == 1 {
-					return nil, broke()
+					return nil, connectionError()
 				}
 				return serviceAnswer(http.StatusOK, "second"), nil
 			}
@@ -63,7 +63,7 @@
 }
 
 func TestDotSegmentsAreRefused(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	for _, path := range []string{"/x/../orders", "/x/%2e%2e/orders", "/./orders"} {
 		w := r.send(t.Context(), http.MethodPut, "/services/order-desk"+path, "")
 		require.Equal(t, http.StatusBadRequest, w.Code)
@@ -72,10 +72,10 @@
 	require.Empty(t, r.services.calls())
 }
 
-// breaking yields n bytes and then a broken connection.
-type breaking struct{ n int }
+// brokenReader yields n bytes and then the error of a broken connection.
+type brokenReader struct{ n int }
 
-func (b *breaking) Read(p []byte) (int, error) {
+func (b *brokenReader) Read(p []byte) (int, error) {
 	if b.n == 0 {
 		return 0, io.ErrUnexpectedEOF
 	}
@@ -87,11 +87,11 @@
 	return n, nil
 }
 
-func TestShortServiceAnswerThatBreaksIsAskedForAgain(t *testing.T) {
-	r := newRig(t)
+func TestBrokenShortServiceAnswerIsRetried(t *testing.T) {
+	r := newHarness(t)
 	r.services.call = func(context.Context, string, infra.ServiceRequest) (*infra.ServiceAnswer, error) {
 		if len(r.services.calls()) == 1 {
-			return &infra.ServiceAnswer{Status: http.StatusOK, Body: io.NopCloser(&breaking{100})}, nil
+			return &infra.ServiceAnswer{Status: http.StatusOK, Body: io.NopCloser(&brokenReader{100})}, nil
 		}
 		return serviceAnswer(http.StatusOK, "second"), nil
 	}
@@ -99,20 +99,20 @@
 	require.Equal(t, "second", w.Body.String())
 }
 
-func TestLongServiceAnswerThatBreaksNeverLooksWhole(t *testing.T) {
-	r := newRig(t)
+func TestBrokenLongServiceAnswerAbortsConnection(t *testing.T) {
+	r := newHarness(t)
 	r.services.call = func(context.Context, string, infra.ServiceRequest) (*infra.ServiceAnswer, error) {
-		return &infra.ServiceAnswer{Status: http.StatusOK, Body: io.NopCloser(&breaking{serviceBufferBytes + 1})}, nil
+		return &infra.ServiceAnswer{Status: http.StatusOK, Body: io.NopCloser(&brokenReader{serviceBufferBytes + 1})}, nil
 	}
 	require.PanicsWithValue(t, http.ErrAbortHandler, func() {
 		r.send(t.Context(), http.MethodGet, "/services/order-desk/orders", "")
 	})
 	require.Len(t, r.services.calls(), 1)
-	r.empty(t)
+	r.requireDrained(t)
 }
 
 func TestKeyedServiceCallIsReplayed(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	key := header{HeaderIdempotencyKey: "k"}
 	first := r.post("/services/order-desk/orders", "two trays", key)
 	again := r.post("/services/order-desk/orders", "two trays", key)
@@ -124,7 +124,7 @@
 	require.Equal(t, http.StatusUnprocessableEntity, other.Code)
 }
 
-func TestMayRepeatKnowsRulesWithSpaces(t *testing.T) {
+func TestNonIdempotentRulesMayContainExtraSpaces(t *testing.T) {
 	cfg := config.Service{NonIdempotent: []string{"GET  /tickets/next"}}
 	require.False(t, isIdempotent(http.MethodGet, "/tickets/next", cfg))
 	require.True(t, isIdempotent(http.MethodGet, "/tickets", cfg))
--- a/caller/sink.go
+++ b/caller/sink.go
@@ -110,6 +110,7 @@
 	return &CallerDisconnectedError{Err: err}
 }
 
+// copy appends b to the copy of the answer, or drops the copy if it gets too large.
 func (rw *response) copy(b []byte) {
 	if rw.copyOverflow || rw.copied.Len()+len(b) > rw.maxCopyBytes {
 		rw.copyOverflow = true
