--- a/caller/refusals_test.go
+++ b/caller/refusals_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// requireNotRun checks a typed refusal and every header that goes with it.
+// requireNotRun checks that the answer is a typed refusal with outcome not_run and all
+// required headers.
 func requireNotRun(t *testing.T, w *httptest.ResponseRecorder, status int, code string) {
 	t.Helper()
 	require.Equal(t, status, w.Code, w.Body)
@@ -46,7 +47,7 @@
 
 func TestBadInputIsRefusedAsNotRun(t *testing.T) {
 	const good = `{"model":"tray","prompt":"p"}`
-	r := newRig(t, func(o *Options) { o.Limits.BodyBytes = 200 })
+	r := newHarness(t, func(o *Options) { o.Limits.BodyBytes = 200 })
 	for name, tc := range map[string]struct {
 		path, body string
 		headers    header
@@ -58,11 +59,11 @@
 		"wrong key":           {pathCompletions, good, header{"Authorization": "Bearer x"}, 401, CodeWrongKey},
 		"unknown model":       {pathCompletions, `{"model":"x","prompt":"p"}`, nil, 404, CodeUnknownModel},
 		"a service as model":  {pathCompletions, `{"model":"order-desk","prompt":"p"}`, nil, 404, CodeUnknownModel},
-		"another's model":     {pathCompletions, `{"model":"facade","prompt":"p"}`, nil, 403, CodeNotYours},
+		"another's model":     {pathCompletions, `{"model":"facade","prompt":"p"}`, nil, 403, CodeOtherPartner},
 		"unknown service":     {"/services/x/y", "", nil, 404, CodeUnknownService},
 		"a model as service":  {"/services/tray/y", "", nil, 404, CodeUnknownService},
 		"unknown path":        {"/v1/embeddings", good, nil, 404, CodeNoSuchPath},
-		"models by POST":      {pathModels, "", nil, 405, CodeMethod},
+		"models by POST":      {pathModels, "", nil, 405, CodeMethodNotAllowed},
 		"broken JSON":         {pathCompletions, `{"model":`, nil, 400, api.CodeBadJSON},
 		"two objects":         {pathCompletions, good + good, nil, 400, api.CodeBadJSON},
 		"a list":              {pathCompletions, `[]`, nil, 400, api.CodeBadJSON},
@@ -76,8 +77,8 @@
 		"unknown role":        {pathChat, `{"model":"tray","messages":[{"role":"x","content":"p"}]}`, nil, 400, api.CodeBadField},
 		"an image":            {pathChat, `{"model":"tray","messages":[{"role":"user","content":[{"type":"image_url"}]}]}`, nil, 400, api.CodeBadField},
 		"stream is a string":  {pathCompletions, `{"model":"tray","prompt":"p","stream":"true"}`, nil, 400, api.CodeBadField},
-		"two choices":         {pathCompletions, `{"model":"tray","prompt":"p","n":2}`, nil, 400, api.CodeUnsupported},
-		"tools":               {pathChat, `{"model":"tray","messages":[{"role":"user","content":"p"}],"tools":[{}]}`, nil, 400, api.CodeUnsupported},
+		"two choices":         {pathCompletions, `{"model":"tray","prompt":"p","n":2}`, nil, 400, api.CodeUnsupportedField},
+		"tools":               {pathChat, `{"model":"tray","messages":[{"role":"user","content":"p"}],"tools":[{}]}`, nil, 400, api.CodeUnsupportedField},
 		"no tokens":           {pathCompletions, `{"model":"tray","prompt":"p","max_tokens":0}`, nil, 400, api.CodeBadField},
 		"too many tokens":     {pathCompletions, `{"model":"tray","prompt":"p","max_tokens":65}`, nil, 400, api.CodeBadField},
 		"half a token":        {pathCompletions, `{"model":"tray","prompt":"p","max_tokens":1.5}`, nil, 400, api.CodeBadField},
@@ -88,9 +89,9 @@
 		"timeout is too long": {pathCompletions, good, header{HeaderTimeout: "600001"}, 400, CodeBadTimeout},
 		"priority is a word":  {pathCompletions, good, header{HeaderPriority: "high"}, 400, CodeBadPriority},
 		"priority too high":   {pathCompletions, good, header{HeaderPriority: "11"}, 400, CodeBadPriority},
-		"mark is no bool":     {pathCompletions, good, header{HeaderNonIdempotent: "yes"}, 400, CodeBadMark},
-		"an empty key":        {pathCompletions, good, header{HeaderIdemKey: ""}, 400, CodeBadIdemKey},
-		"a very long key":     {pathCompletions, good, header{HeaderIdemKey: strings.Repeat("k", 256)}, 400, CodeBadIdemKey},
+		"flag is no bool":     {pathCompletions, good, header{HeaderNonIdempotent: "yes"}, 400, CodeBadNonIdempotent},
+		"an empty key":        {pathCompletions, good, header{HeaderIdempotencyKey: ""}, 400, CodeBadIdempotencyKey},
+		"a very long key":     {pathCompletions, good, header{HeaderIdempotencyKey: strings.Repeat("k", 256)}, 400, CodeBadIdempotencyKey},
 	} {
 		t.Run(name, func(t *testing.T) {
 			requireNotRun(t, r.post(tc.path, tc.body, tc.headers), tc.status, tc.code)
@@ -98,13 +99,13 @@
 	}
 	require.Empty(t, r.engine.attempts())
 	require.Empty(t, r.services.calls())
-	r.empty(t)
+	r.requireDrained(t)
 }
 
-// A caller's key and prompt must show neither in logs nor in errors.
-func TestLogsShowNeitherKeyNorPrompt(t *testing.T) {
+// A caller's key and prompt must appear neither in logs nor in errors.
+func TestLogsContainNeitherKeysNorPrompts(t *testing.T) {
 	var log strings.Builder
-	r := newRig(t, func(o *Options) { o.Log = logTo(&log) })
+	r := newHarness(t, func(o *Options) { o.Log = logTo(&log) })
 	const secret = "diabetic passenger 14C"
 	var answers strings.Builder
 	for _, body := range []string{
@@ -114,7 +115,7 @@
 	}
 	r.post(pathCompletions, "", header{"Authorization": "Bearer " + secret})
 	r.services.call = func(_ ctxT, addr string, req infra.ServiceRequest) (*infra.ServiceAnswer, error) {
-		e := broke()
+		e := connectionError()
 		e.Err = &url.Error{Op: req.Method, URL: addr + "?" + secret, Err: io.ErrUnexpectedEOF}
 		return nil, e
 	}
@@ -128,10 +129,10 @@
 }
 
 func TestReadinessAndDrain(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	fresh, err := New(r.opts)
 	require.NoError(t, err)
-	requireNotRun(t, (&rig{Server: fresh}).post(pathCompletions, `{}`), 503, CodeNotReady)
+	requireNotRun(t, (&harness{Server: fresh}).post(pathCompletions, `{}`), 503, CodeNotReady)
 	gate := make(chan struct{})
 	r.blockUntil(gate)
 	running := make(chan *httptest.ResponseRecorder, 1)
@@ -156,34 +157,34 @@
 	close(gate)
 	require.Equal(t, http.StatusOK, (<-running).Code)
 	<-r.Idle()
-	r.empty(t)
+	r.requireDrained(t)
 }
 
-func TestLimitsOfRequestsAndRing(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.Requests = 1; o.Limits.Ring = 1 })
-	require.Equal(t, entered, r.inHand.enter(1))
-	requireNotRun(t, r.post(pathCompletions, `{}`), 503, CodeTooMany)
-	r.inHand.leave()
+func TestRequestAndQueueLimits(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.ConcurrentRequests = 1; o.Limits.DispatcherQueue = 1 })
+	require.Equal(t, admitted, r.workTracker.admit(1))
+	requireNotRun(t, r.post(pathCompletions, `{}`), 503, CodeTooManyRequests)
+	r.workTracker.done()
 	r.stop()
-	r.ring <- reported{} // nobody reads the ring now: it is full
+	r.queue <- loadReported{} // the dispatcher has stopped, so the queue is full now
 	w := r.post(pathCompletions, `{"model":"tray","prompt":"p"}`)
-	requireNotRun(t, w, 503, CodeRingFull)
+	requireNotRun(t, w, 503, CodeDispatcherBusy)
 	require.Equal(t, "1", w.Header().Get("Retry-After"))
-	r.Reported("e0", infra.Load{}, 0)
+	r.ReportLoad("e0", infra.Load{}, 0)
 	require.Equal(t, "1", r.counter("hints_dropped"))
 }
 
-// listen serves the handler on loopback, as an entry instance does.
-func (r *rig) listen(t testing.TB) *httptest.Server {
+// listen serves the handler over HTTP on loopback, as an entry instance does.
+func (r *harness) listen(t testing.TB) *httptest.Server {
 	srv := httptest.NewUnstartedServer(r.Handler())
-	Configure(srv.Config)
+	ConfigureHTTPServer(srv.Config)
 	srv.Start()
 	t.Cleanup(srv.Close)
 	return srv
 }
 
-func TestSlowBodyIsRefusedInTime(t *testing.T) {
-	r := newRig(t, func(o *Options) { o.Limits.BodyTime = 50 * time.Millisecond })
+func TestSlowBodyIsRefused(t *testing.T) {
+	r := newHarness(t, func(o *Options) { o.Limits.BodyReadTimeout = 50 * time.Millisecond })
 	srv := r.listen(t)
 	conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 	require.NoError(t, err)
@@ -201,9 +202,9 @@
 	require.True(t, resp.Close)
 }
 
-// The answer to a refused request doesn't wait for the rest of its body.
+// A refusal is sent without waiting for the rest of the request's body.
 func TestRefusalDoesNotWaitForTheBody(t *testing.T) {
-	r := newRig(t)
+	r := newHarness(t)
 	srv := r.listen(t)
 	conn, err := net.Dial("tcp", srv.Listener.Addr().String())
 	require.NoError(t, err)
@@ -216,31 +217,31 @@
 	require.Equal(t, http.StatusUnauthorized, resp.StatusCode)
 }
 
-func TestConfigureBoundsSlowHeaders(t *testing.T) {
+func TestConfigureHTTPServerLimitsHeaders(t *testing.T) {
 	var h http.Server
-	Configure(&h)
-	require.Equal(t, HeaderTime, h.ReadHeaderTimeout)
-	require.Equal(t, HeaderBytes, h.MaxHeaderBytes)
-	require.Zero(t, h.WriteTimeout, "streams last as long as their requests")
+	ConfigureHTTPServer(&h)
+	require.Equal(t, HeaderReadTimeout, h.ReadHeaderTimeout)
+	require.Equal(t, HeaderSizeLimit, h.MaxHeaderBytes)
+	require.Zero(t, h.WriteTimeout, "streams may last until the request's deadline")
 }
 
-// A caller that leaves a real connection cancels its work at the server.
-func TestClosedConnectionCancels(t *testing.T) {
-	r := newRig(t)
+// Closing a real connection cancels the attempt at the server.
+func TestClosedConnectionCancelsTheAttempt(t *testing.T) {
+	r := newHarness(t)
 	ended := make(chan struct{})
 	r.engine.generate = func(ctx ctxT, _ string, req infra.GenerateRequest) (infra.Stream, error) {
-		s := r.engine.stream(ctx, answerFrom(req, 0, 1)[:1])
+		s := r.engine.stream(ctx, answerEvents(req, 0, 1)[:1])
 		s.block = true
 		go func() { <-ctx.Done(); close(ended) }()
 		return s, nil
 	}
 	srv := r.listen(t)
-	req, err := http.NewRequest(http.MethodPost, srv.URL+pathCompletions, strings.NewReader(streamed))
+	req, err := http.NewRequest(http.MethodPost, srv.URL+pathCompletions, strings.NewReader(streamedRequest))
 	require.NoError(t, err)
 	req.Header.Set("Authorization", "Bearer "+testKey)
 	resp, err := http.DefaultTransport.RoundTrip(req)
 	require.NoError(t, err)
-	_, err = bufio.NewReader(resp.Body).ReadString('\n') // the first token has come
+	_, err = bufio.NewReader(resp.Body).ReadString('\n') // the first token arrived
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	<-ended
