--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -140,14 +140,14 @@
 		nodes, _ := cluster(t, logtest.New(), agreed("a", "b"), 1)
 		time.Sleep(time.Second)
 		for _, n := range nodes {
-			n.log.Set(logtest.Faults{Down: true})
+			n.log.SetFaults(logtest.Faults{Down: true})
 		}
 		standing, err := nodes["a"].client.Claim(t.Context(), claimOf(1, "one"))
 		var failed *Error
 		require.ErrorAs(t, err, &failed)
 		require.Equal(t, NotKept, standing.Verdict)
 		for _, n := range nodes {
-			n.log.Set(logtest.Faults{})
+			n.log.SetFaults(logtest.Faults{})
 		}
 		time.Sleep(time.Minute)
 		standing, err = nodes["b"].client.Claim(t.Context(), claimOf(1, "two"))
--- a/claims/history_test.go
+++ b/claims/history_test.go
@@ -121,15 +121,15 @@
 	for range 8 {
 		time.Sleep(500 * time.Millisecond)
 		id := ids[rng.IntN(len(ids))]
-		nodes[id].log.Set(logtest.Faults{
+		nodes[id].log.SetFaults(logtest.Faults{
 			Delay:        time.Duration(rng.IntN(300)) * time.Millisecond,
 			LoseAnswers:  rng.IntN(3),
-			LateRequests: rng.IntN(2), Late: time.Duration(rng.IntN(4000)) * time.Millisecond,
+			LateRequests: rng.IntN(2), LateBy: time.Duration(rng.IntN(4000)) * time.Millisecond,
 			Down: rng.IntN(4) == 0,
 		})
 	}
 	for _, n := range nodes {
-		n.log.Set(logtest.Faults{})
+		n.log.SetFaults(logtest.Faults{})
 	}
 	wait.Wait()
 	return history
@@ -244,12 +244,12 @@
 			history = append(history, porcupine.Operation{Input: op{key: 1, attempt: attempt}, Output: standing, Call: call, Return: call})
 		}
 		claim("a", "one")
-		nodes["b"].log.Set(logtest.Faults{Down: true})
+		nodes["b"].log.SetFaults(logtest.Faults{Down: true})
 		time.Sleep(time.Minute)
 		stream := Stream(ShardOf(key(1)))
 		kept := log.Records(stream)
 		log.Trim(stream, kept[len(kept)-1].Offset+1)
-		nodes["b"].log.Set(logtest.Faults{})
+		nodes["b"].log.SetFaults(logtest.Faults{})
 		late, _ := cluster(t, log, map[string][]string{"d": {"d"}}, 1)
 		nodes["d"] = late["d"]
 		claim("d", "two")
--- a/claims/shard.go
+++ b/claims/shard.go
@@ -124,13 +124,13 @@
 		writer: opts.Writer,
 		logger: logger,
 		follower: logsync.NewFollower(logsync.FollowerOptions[state]{
-			Log:        opts.Log,
-			Stream:     Stream(id),
-			New:        func(from infra.Offset) logsync.State[state] { return newState(from) },
-			FromOldest: true,
-			Spacing:    -1, // a claim's answer waits for its record to be read
-			Logger:     logger,
-			Metrics:    opts.Metrics,
+			Log:          opts.Log,
+			Stream:       Stream(id),
+			New:          func(from infra.Offset) logsync.ViewMachine[state] { return newState(from) },
+			FromOldest:   true,
+			ReadInterval: -1, // a claim's answer waits for its record to be read
+			Logger:       logger,
+			Metrics:      opts.Metrics,
 		}),
 	}
 }
--- a/control/core.go
+++ b/control/core.go
@@ -165,7 +165,7 @@
 		c.entries = idsOf(in.list.Entries(c.domain))
 		c.engines = enginesOf(in.list, c.domain)
 		if _, listed := in.list.Get(c.self); listed {
-			c.listedAt = in.list.Read
+			c.listedAt = in.list.ReadAt
 		}
 	}
 	if news && c.list != nil {
@@ -192,7 +192,7 @@
 			continue
 		}
 		if s.missingSince.IsZero() {
-			s.missingSince = c.list.Read
+			s.missingSince = c.list.ReadAt
 		}
 		if c.view != nil && c.view.Servers[id] == nil {
 			delete(c.servers, id)
@@ -217,7 +217,7 @@
 		if _, listed := c.list.Get(instance); listed {
 			delete(c.unlisted, instance)
 		} else if _, noted := c.unlisted[instance]; !noted {
-			c.unlisted[instance] = c.list.Read
+			c.unlisted[instance] = c.list.ReadAt
 		}
 	}
 }
--- a/control/holder.go
+++ b/control/holder.go
@@ -152,7 +152,7 @@
 // first, and it is forgotten only once no earlier order is under way, should it
 // come back.
 func (c *core) retire(now time.Time, s *server, want *replay.Server) *record.Record {
-	unlisted := !s.missingSince.IsZero() && c.list.Read.Sub(s.missingSince) >= c.l.ServerGone
+	unlisted := !s.missingSince.IsZero() && c.list.ReadAt.Sub(s.missingSince) >= c.l.ServerGone
 	if !unlisted || s.addr != "" && s.silent(now) < c.l.Unreachable {
 		return nil
 	}
@@ -175,7 +175,7 @@
 func (c *core) departures(now time.Time) []*record.Record {
 	var out []*record.Record
 	for _, instance := range sortedKeys(c.unlisted) {
-		if instance == c.self || c.list.Read.Sub(c.unlisted[instance]) < c.l.OrdererGone {
+		if instance == c.self || c.list.ReadAt.Sub(c.unlisted[instance]) < c.l.OrdererGone {
 			continue
 		}
 		c.logDeparture(instance, now)
--- a/demand/collector.go
+++ b/demand/collector.go
@@ -15,16 +15,16 @@
 	// SampleOwn is how many entry instances of the own failure domain are asked
 	// each time. A balancer spreads callers evenly, so a few speak for all; the
 	// cost stays the same however many instances there are.
-	SampleOwn = 4
+	OwnDomainSample = 4
 	// SampleOthers is how many of all other failure domains are asked each time.
-	SampleOthers = 2
+	OtherDomainsSample = 2
 	// AskEvery is the least time between two rounds. An answer names up to a
 	// hundred targets in some 3 KB, so six of them in 15 s are 1.2 KB/s.
-	AskEvery = 15 * time.Second
+	SampleInterval = 15 * time.Second
 	// SampleLife is how long an answer counts: four rounds.
-	SampleLife = 4 * AskEvery
+	SampleTTL = 4 * SampleInterval
 	// askTime bounds one round.
-	askTime = 2 * time.Second
+	sampleTimeout = 2 * time.Second
 )
 
 // Report is what an entry instance says of a failure domain.
@@ -34,7 +34,7 @@
 }
 
 // Asker asks an entry instance what a failure domain was asked for through it.
-type Asker interface {
+type Querier interface {
 	Demand(ctx context.Context, instance infra.Instance, domain string) (Report, error)
 }
 
@@ -42,80 +42,80 @@
 // entry instances.
 type Collector struct {
 	domain  string
-	asker   Asker
+	querier Querier
 	entries func() []infra.Instance // the live ones, of all failure domains
 
-	mu      sync.Mutex
-	random  *rand.Rand
-	asked   time.Time         // when the last round began
-	samples map[string]sample // by instance id
+	mu        sync.Mutex
+	rng       *rand.Rand
+	lastRound time.Time         // when the last round began
+	samples   map[string]sample // by instance id
 }
 
 // sample is one instance's answer.
 type sample struct {
-	at     time.Time
-	domain string // where the instance is
-	report Report
+	receivedAt time.Time
+	domain     string // where the instance is
+	report     Report
 }
 
 // NewCollector returns a collector for a failure domain.
-func NewCollector(domain string, asker Asker, entries func() []infra.Instance, random *rand.Rand) *Collector {
-	return &Collector{domain: domain, asker: asker, entries: entries, random: random, samples: map[string]sample{}}
+func NewCollector(domain string, querier Querier, entries func() []infra.Instance, rng *rand.Rand) *Collector {
+	return &Collector{domain: domain, querier: querier, entries: entries, rng: rng, samples: map[string]sample{}}
 }
 
 // Collect returns the estimate of the failure domain's whole demand, by target,
 // after asking a new sample if AskEvery has passed.
 func (c *Collector) Collect(ctx context.Context) map[string]Rates {
 	entries := c.entries()
-	if c.due(time.Now()) {
-		c.round(ctx, entries)
+	if c.startRound(time.Now()) {
+		c.sampleRound(ctx, entries)
 	}
 	return c.estimate(time.Now(), entries)
 }
 
 // due says whether a round is, and notes that it begins.
-func (c *Collector) due(now time.Time) bool {
+func (c *Collector) startRound(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if now.Sub(c.asked) < AskEvery {
+	if now.Sub(c.lastRound) < SampleInterval {
 		return false
 	}
-	c.asked = now
+	c.lastRound = now
 	return true
 }
 
 // round asks a new sample.
-func (c *Collector) round(ctx context.Context, entries []infra.Instance) {
-	ctx, cancel := context.WithTimeout(ctx, askTime)
+func (c *Collector) sampleRound(ctx context.Context, entries []infra.Instance) {
+	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
 	var group errgroup.Group
-	for _, instance := range c.choose(entries) {
+	for _, instance := range c.chooseInstances(entries) {
 		group.Go(func() error {
-			c.ask(ctx, instance)
+			c.query(ctx, instance)
 			return nil
 		})
 	}
 	_ = group.Wait() // ask returns no error: an instance that is silent is not counted
 }
 
-func (c *Collector) ask(ctx context.Context, instance infra.Instance) {
-	report, err := c.asker.Demand(ctx, instance, c.domain)
+func (c *Collector) query(ctx context.Context, instance infra.Instance) {
+	report, err := c.querier.Demand(ctx, instance, c.domain)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err != nil {
 		delete(c.samples, instance.ID)
 		return
 	}
-	c.samples[instance.ID] = sample{at: time.Now(), domain: instance.FailureDomain, report: report}
+	c.samples[instance.ID] = sample{receivedAt: time.Now(), domain: instance.FailureDomain, report: report}
 }
 
 // choose draws the instances to ask.
-func (c *Collector) choose(entries []infra.Instance) []infra.Instance {
+func (c *Collector) chooseInstances(entries []infra.Instance) []infra.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var chosen []infra.Instance
-	left := map[bool]int{true: SampleOwn, false: SampleOthers}
-	for _, i := range c.random.Perm(len(entries)) {
+	left := map[bool]int{true: OwnDomainSample, false: OtherDomainsSample}
+	for _, i := range c.rng.Perm(len(entries)) {
 		own := entries[i].FailureDomain == c.domain
 		if left[own] == 0 {
 			continue
@@ -134,8 +134,8 @@
 	told := map[string]time.Time{}
 	for _, s := range c.samples {
 		for server, load := range s.report.Loads {
-			if s.at.After(told[server]) {
-				loads[server], told[server] = load, s.at
+			if s.receivedAt.After(told[server]) {
+				loads[server], told[server] = load, s.receivedAt
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 	}
 	sampled := map[string]int{}
 	for id, s := range c.samples {
-		if now.Sub(s.at) > SampleLife {
+		if now.Sub(s.receivedAt) > SampleTTL {
 			delete(c.samples, id)
 			continue
 		}
--- a/demand/meter.go
+++ b/demand/meter.go
@@ -13,10 +13,10 @@
 	// TimeConstant is how long a request counts toward a rate: long enough
 	// that an instance with three requests a second gives a steady figure, and
 	// short beside the hour in which demand moves tenfold.
-	TimeConstant = 30 * time.Second
+	DecayTimeConstant = 30 * time.Second
 	// forgotten is the count at which a target is dropped: five time constants
 	// after a single request.
-	forgotten = 0.007
+	minCount = 0.007
 )
 
 // Rates is what is asked of one model or adapter, in a second.
@@ -34,7 +34,7 @@
 
 // counts decay: what was counted a TimeConstant ago weighs 1/e.
 type counts struct {
-	at                        time.Time
+	updatedAt                 time.Time
 	requests, tokens, refused float64
 }
 
@@ -74,7 +74,7 @@
 	rates := map[string]Rates{}
 	for k, c := range m.counts {
 		c.decay(now)
-		if c.requests+c.refused+c.tokens < forgotten {
+		if c.requests+c.refused+c.tokens < minCount {
 			delete(m.counts, k)
 			continue
 		}
@@ -90,7 +90,7 @@
 	defer m.mu.Unlock()
 	c := m.counts[k]
 	if c == nil {
-		c = &counts{at: now}
+		c = &counts{updatedAt: now}
 		m.counts[k] = c
 	}
 	c.decay(now)
@@ -99,18 +99,18 @@
 
 // decay brings the counts up to now.
 func (c *counts) decay(now time.Time) {
-	passed := now.Sub(c.at)
+	passed := now.Sub(c.updatedAt)
 	if passed <= 0 {
 		return
 	}
-	factor := math.Exp(-passed.Seconds() / TimeConstant.Seconds())
+	factor := math.Exp(-passed.Seconds() / DecayTimeConstant.Seconds())
 	c.requests *= factor
 	c.tokens *= factor
 	c.refused *= factor
-	c.at = now
+	c.updatedAt = now
 }
 
 func (c *counts) rates() Rates {
-	seconds := TimeConstant.Seconds()
+	seconds := DecayTimeConstant.Seconds()
 	return Rates{Requests: c.requests / seconds, Tokens: c.tokens / seconds, Refused: c.refused / seconds}
 }
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -37,10 +37,10 @@
 
 // budget is this instance's part of the log's appends.
 func (i *Instance) budget() logsync.Budget {
-	return logsync.Share{
-		Live:    func() int { return len(i.watcher.List().Entries("")) },
-		Streams: func() int { return claims.Shards + len(*i.domains.followers.Load()) },
-		Leads:   i.leads,
+	return logsync.SharedBudget{
+		LiveInstances:       func() int { return len(i.watcher.List().Entries("")) },
+		SingleWriterStreams: func() int { return claims.Shards + len(*i.domains.followers.Load()) },
+		IsWriter:            i.leads,
 	}
 }
 
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -66,7 +66,7 @@
 	collector     *demand.Collector
 	peers         *peer.Client
 	peerTraffic   *traffic.Counters
-	states        *peer.States
+	states        *peer.StateFetcher
 	missing       *missing
 	hints         *hints
 	batchers      *claims.Batchers
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -79,8 +79,8 @@
 	require.Len(t, o.meter.Rates(now, "porto-a"), 1)
 	require.Contains(t, o.meter.Rates(now, "porto-a"), "unplaced")
 	pelotas, caxias := o.meter.Rates(now, "pelotas"), o.meter.Rates(now, "caxias")
-	require.InDelta(t, 0.5/demand.TimeConstant.Seconds(), pelotas["m"].Refused, 1e-4)
-	require.InDelta(t, 0.5/demand.TimeConstant.Seconds(), caxias["m"].Refused, 1e-4)
+	require.InDelta(t, 0.5/demand.DecayTimeConstant.Seconds(), pelotas["m"].Refused, 1e-4)
+	require.InDelta(t, 0.5/demand.DecayTimeConstant.Seconds(), caxias["m"].Refused, 1e-4)
 }
 
 func TestListenerLetsAnAnswerUnderWayEnd(t *testing.T) {
--- a/entry/holding.go
+++ b/entry/holding.go
@@ -131,7 +131,7 @@
 // Down implements control.Views.
 func (v *controlViews) Down() bool {
 	s := v.follower.Status()
-	return !s.CaughtUp && time.Since(s.Read) > logDownAfter
+	return !s.CaughtUp && time.Since(s.LastRead) > logDownAfter
 }
 
 // collected implements control.Demand over a collector.
@@ -190,7 +190,7 @@
 
 // Reported implements caller.Observer.
 func (o *observer) Reported(server string, load infra.Load) {
-	o.loads.Seen(time.Now(), server, load)
+	o.loads.Record(time.Now(), server, load)
 }
 
 // NotResident implements caller.Observer.
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -15,7 +15,7 @@
 func (i *Instance) wirePeers() {
 	i.peerTraffic = traffic.NewCounters(i.vars("peers"))
 	i.peers = peer.NewClient(transport(i.opts.Dial), i.opts.Settings.Peers.Token, i.peerTraffic)
-	i.states = peer.NewStates(i.peers, i.peerAddrs)
+	i.states = peer.NewStateFetcher(i.peers, i.peerAddrs)
 }
 
 // peerAddrs returns the peers to ask for their state: the own failure domain's,
@@ -39,7 +39,7 @@
 
 // peersHandler serves the peers' address.
 func (i *Instance) peersHandler() http.Handler {
-	return peer.Handler(peer.Backend{
+	return peer.Handler(peer.HandlerOptions{
 		Instance:      i.opts.Settings.Instance.ID,
 		FailureDomain: i.domain(),
 		State:         i.checkpoint,
--- a/entry/status.go
+++ b/entry/status.go
@@ -115,7 +115,7 @@
 }
 
 func streamStatus(stream string, s logsync.Status) StreamStatus {
-	out := StreamStatus{Stream: stream, Offset: uint64(s.Offset), AgeMS: age(s.Read), FromPeer: s.FromPeer}
+	out := StreamStatus{Stream: stream, Offset: uint64(s.Offset), AgeMS: age(s.LastRead), FromPeer: s.FromPeer}
 	if s.Next > s.Offset+1 {
 		out.Behind = uint64(s.Next - s.Offset - 1)
 	}
@@ -127,7 +127,7 @@
 		return ListStatus{AgeMS: -1}
 	}
 	servers := list.Select(func(i infra.Instance) bool { return i.Role != infra.RoleEntry })
-	return ListStatus{AgeMS: age(list.Read), Entries: len(list.Entries("")), Servers: len(servers)}
+	return ListStatus{AgeMS: age(list.ReadAt), Entries: len(list.Entries("")), Servers: len(servers)}
 }
 
 // addControl adds what the control streams say.
--- a/entry/wiring.go
+++ b/entry/wiring.go
@@ -37,7 +37,7 @@
 	i.config = logsync.NewFollower(logsync.FollowerOptions[replay.ConfigView]{
 		Log:     i.opts.Platform.Log,
 		Stream:  infra.StreamConfig,
-		New:     func(infra.Offset) logsync.State[replay.ConfigView] { return replay.NewConfig() },
+		New:     func(infra.Offset) logsync.ViewMachine[replay.ConfigView] { return replay.NewConfig() },
 		Peers:   i.states,
 		Logger:  i.log,
 		Metrics: vars,
@@ -45,7 +45,7 @@
 	i.quarantined = logsync.NewFollower(logsync.FollowerOptions[replay.QuarantineView]{
 		Log:     i.opts.Platform.Log,
 		Stream:  infra.StreamQuarantine,
-		New:     func(infra.Offset) logsync.State[replay.QuarantineView] { return replay.NewQuarantine() },
+		New:     func(infra.Offset) logsync.ViewMachine[replay.QuarantineView] { return replay.NewQuarantine() },
 		Peers:   i.states,
 		Logger:  i.log,
 		Metrics: vars,
@@ -72,16 +72,16 @@
 	return func(domain string) *controlFollower {
 		spacing := otherDomainSpacing
 		if domain == i.domain() {
-			spacing = logsync.DefaultSpacing
+			spacing = logsync.DefaultReadInterval
 		}
 		return logsync.NewFollower(logsync.FollowerOptions[replay.ControlView]{
-			Log:     i.opts.Platform.Log,
-			Stream:  infra.ControlStream(domain),
-			New:     func(infra.Offset) logsync.State[replay.ControlView] { return replay.NewControl() },
-			Peers:   i.states,
-			Spacing: spacing,
-			Logger:  i.log,
-			Metrics: vars,
+			Log:          i.opts.Platform.Log,
+			Stream:       infra.ControlStream(domain),
+			New:          func(infra.Offset) logsync.ViewMachine[replay.ControlView] { return replay.NewControl() },
+			Peers:        i.states,
+			ReadInterval: spacing,
+			Logger:       i.log,
+			Metrics:      vars,
 		})
 	}
 }
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -13,7 +13,7 @@
 // sized makes a fleet of n backend servers in nine failure domains, with the
 // two-year size's proportions: 870 models and 370 entry instances for 1,900
 // servers, two replicas of each model.
-func sized(servers int) (*config.Config, *List, map[string]*replay.ControlView) {
+func newFleet(servers int) (*config.Config, *List, map[string]*replay.ControlView) {
 	cfg := &config.Config{
 		Partners: map[string]config.Partner{"p": {Weight: 1}},
 		Pools:    map[string]config.Pool{"pool": {Owner: "p", Slots: 16}},
@@ -46,7 +46,7 @@
 func BenchmarkBuildTable(b *testing.B) {
 	for _, servers := range []int{475, 950, 1900} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			cfg, list, views := sized(servers)
+			cfg, list, views := newFleet(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				BuildTable("domain-0", cfg, list, views)
@@ -59,7 +59,7 @@
 func BenchmarkReadList(b *testing.B) {
 	for _, servers := range []int{475, 950, 1900} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			_, list, _ := sized(servers)
+			_, list, _ := newFleet(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				NewList(time.Time{}, list.Instances)
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { testmain.Run(m) }
 
-func engine(id string, state infra.InstanceState) infra.Instance {
+func engineInstance(id string, state infra.InstanceState) infra.Instance {
 	return infra.Instance{ID: id, Role: infra.RoleEngine, State: state, FailureDomain: "porto-a", Pool: "redator", Addr: "127.0.0.1:1"}
 }
 
@@ -35,7 +35,7 @@
 	}
 }
 
-func view(servers map[string][]infra.Item) *replay.ControlView {
+func controlView(servers map[string][]infra.Item) *replay.ControlView {
 	v := &replay.ControlView{Servers: map[string]*replay.Server{}}
 	for id, items := range servers {
 		v.Servers[id] = &replay.Server{ID: id, Ready: items}
@@ -43,9 +43,9 @@
 	return v
 }
 
-func TestTableHoldsOnlyWhatIsReadyAndListed(t *testing.T) {
+func TestTableContainsOnlyReadyReplicasOnListedServers(t *testing.T) {
 	list := NewList(time.Time{}, []infra.Instance{
-		engine("s1", infra.StateLive), engine("s2", infra.StateLeaving),
+		engineInstance("s1", infra.StateLive), engineInstance("s2", infra.StateLeaving),
 		{ID: "c1", Role: infra.RoleService, Pool: "campo", State: infra.StateLive},
 		{ID: "e1", Role: infra.RoleEntry, State: infra.StateLive, FailureDomain: "porto-a"},
 		{ID: "e2", Role: infra.RoleEntry, State: infra.StateLeaving, FailureDomain: "porto-a"},
@@ -53,7 +53,7 @@
 	old, declared := infra.Item{Model: "m", Version: "v1"}, infra.Item{Model: "m", Version: "v2"}
 	adapter := infra.Item{Model: "m", Adapter: "a", Version: "v1"}
 	table := BuildTable("porto-a", testConfig(), list, map[string]*replay.ControlView{
-		"porto-a": view(map[string][]infra.Item{
+		"porto-a": controlView(map[string][]infra.Item{
 			"s1":       {old, adapter},
 			"s2":       {declared},
 			"unlisted": {declared},
@@ -71,38 +71,38 @@
 }
 
 func TestAdapterWithoutItsModelIsNoReplica(t *testing.T) {
-	list := NewList(time.Time{}, []infra.Instance{engine("s1", infra.StateLive)})
+	list := NewList(time.Time{}, []infra.Instance{engineInstance("s1", infra.StateLive)})
 	adapter := infra.Item{Model: "m", Adapter: "a", Version: "v1"}
 	table := BuildTable("porto-a", testConfig(), list, map[string]*replay.ControlView{
-		"porto-a": view(map[string][]infra.Item{"s1": {adapter}}),
+		"porto-a": controlView(map[string][]infra.Item{"s1": {adapter}}),
 	})
 	require.Empty(t, table.Targets["a"].Replicas)
 }
 
 // lister answers with what the test sets.
-type lister struct {
+type fakeLister struct {
 	mu        sync.Mutex
 	instances []infra.Instance
 	err       error
 }
 
-func (l *lister) List(context.Context) ([]infra.Instance, error) {
+func (l *fakeLister) List(context.Context) ([]infra.Instance, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.instances, l.err
 }
 
-func (l *lister) set(instances []infra.Instance, err error) {
+func (l *fakeLister) set(instances []infra.Instance, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.instances, l.err = instances, err
 }
 
-func TestWatcherKeepsTheLastListWhileThePlatformIsOut(t *testing.T) {
+func TestWatcherKeepsLastListDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		source := &lister{instances: []infra.Instance{engine("s1", infra.StateLive)}}
+		source := &fakeLister{instances: []infra.Instance{engineInstance("s1", infra.StateLive)}}
 		w := NewWatcher(source, 0, log, new(expvar.Map))
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
@@ -112,8 +112,8 @@
 		source.set(nil, &infra.Error{Op: "list", Reason: infra.ReasonUnavailable})
 		time.Sleep(time.Minute)
 		require.Same(t, first, w.List())
-		source.set([]infra.Instance{engine("s1", infra.StateLeaving)}, nil)
-		time.Sleep(DefaultEvery)
+		source.set([]infra.Instance{engineInstance("s1", infra.StateLeaving)}, nil)
+		time.Sleep(DefaultListInterval)
 		synctest.Wait()
 		got, listed := w.List().Get("s1")
 		require.True(t, listed)
--- a/fleet/list.go
+++ b/fleet/list.go
@@ -22,14 +22,14 @@
 	// DefaultEvery is the time between two looks at the list: together with a
 	// table's rebuilding it keeps a leaving server's last new work within the
 	// 3 s that are promised.
-	DefaultEvery = time.Second
+	DefaultListInterval = time.Second
 	// callTimeout bounds one look, so that a stuck list is seen as down.
-	callTimeout = 2 * time.Second
+	listTimeout = 2 * time.Second
 )
 
 // List is the platform's list as last read. It is immutable.
 type List struct {
-	Read      time.Time // when it was read, on this instance's clock
+	ReadAt    time.Time // when it was read, on this instance's clock
 	Instances []infra.Instance
 	byID      map[string]int
 }
@@ -38,7 +38,7 @@
 func NewList(read time.Time, instances []infra.Instance) *List {
 	sorted := append([]infra.Instance(nil), instances...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].ID < sorted[j].ID })
-	l := &List{Read: read, Instances: sorted, byID: make(map[string]int, len(sorted))}
+	l := &List{ReadAt: read, Instances: sorted, byID: make(map[string]int, len(sorted))}
 	for i, inst := range sorted {
 		l.byID[inst.ID] = i
 	}
@@ -90,20 +90,20 @@
 // Watcher follows the platform's list. While the list can't be read it keeps
 // the last one: an outage of the list must not empty the routing.
 type Watcher struct {
-	source  infra.Instances
-	every   time.Duration
-	log     logrus.FieldLogger
-	metrics *expvar.Map
-	current atomic.Pointer[List]
+	source   infra.Instances
+	interval time.Duration
+	log      logrus.FieldLogger
+	metrics  *expvar.Map
+	current  atomic.Pointer[List]
 }
 
 // NewWatcher returns a watcher that looks at the source each time `every` has
 // passed; zero takes DefaultEvery.
-func NewWatcher(source infra.Instances, every time.Duration, log logrus.FieldLogger, metrics *expvar.Map) *Watcher {
-	if every == 0 {
-		every = DefaultEvery
+func NewWatcher(source infra.Instances, interval time.Duration, log logrus.FieldLogger, metrics *expvar.Map) *Watcher {
+	if interval == 0 {
+		interval = DefaultListInterval
 	}
-	return &Watcher{source: source, every: every, log: log, metrics: metrics}
+	return &Watcher{source: source, interval: interval, log: log, metrics: metrics}
 }
 
 // List returns the list as last read, or nil before the first. While nothing
@@ -114,7 +114,7 @@
 func (w *Watcher) Run(ctx context.Context) error {
 	failing := false
 	for {
-		err := w.look(ctx)
+		err := w.refresh(ctx)
 		if err != nil && !failing && ctx.Err() == nil {
 			w.log.WithField("error", err).Warn("instance list out of reach, keeping the last one")
 		}
@@ -122,15 +122,15 @@
 			w.log.Info("instance list read again")
 		}
 		failing = err != nil
-		if !supervise.Pause(ctx, jittered(w.every)) {
+		if !supervise.Pause(ctx, jittered(w.interval)) {
 			return nil
 		}
 	}
 }
 
 // look reads the list once.
-func (w *Watcher) look(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (w *Watcher) refresh(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	instances, err := w.source.List(ctx)
 	if err != nil {
@@ -140,16 +140,16 @@
 	next := NewList(time.Now(), instances)
 	last := w.current.Load()
 	if last != nil && slices.Equal(last.Instances, next.Instances) {
-		w.current.Store(&List{Read: next.Read, Instances: last.Instances, byID: last.byID})
+		w.current.Store(&List{ReadAt: next.ReadAt, Instances: last.Instances, byID: last.byID})
 		return nil
 	}
 	w.current.Store(next)
-	w.note(last, next)
+	w.logChange(last, next)
 	return nil
 }
 
 // note logs what has changed.
-func (w *Watcher) note(last, next *List) {
+func (w *Watcher) logChange(last, next *List) {
 	w.metrics.Add("list_changes", 1)
 	before := 0
 	if last != nil {
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -21,7 +21,7 @@
 // the list can't be reached and isn't in the table; a replica counts only once
 // the lease holder has put on the log that it is ready.
 func BuildTable(ownDomain string, cfg *config.Config, list *List, controls map[string]*replay.ControlView) *decide.Table {
-	b := builder{
+	b := tableBuilder{
 		cfg:   cfg,
 		index: map[string]int{},
 		table: &decide.Table{
@@ -50,13 +50,13 @@
 }
 
 // builder holds a table while it is built.
-type builder struct {
+type tableBuilder struct {
 	cfg   *config.Config
 	table *decide.Table
 	index map[string]int // by server id
 }
 
-func (b *builder) addServers(list *List) {
+func (b *tableBuilder) addServers(list *List) {
 	for _, inst := range list.Instances {
 		if inst.Role != infra.RoleEngine && inst.Role != infra.RoleService {
 			continue
@@ -73,14 +73,14 @@
 	}
 }
 
-func (b *builder) slots(inst infra.Instance) int {
+func (b *tableBuilder) slots(inst infra.Instance) int {
 	if inst.Role == infra.RoleService {
 		return ServiceSlots
 	}
 	return b.cfg.Pools[inst.Pool].Slots
 }
 
-func (b *builder) addTargets() {
+func (b *tableBuilder) addTargets() {
 	for name, m := range b.cfg.Models {
 		b.table.Targets[name] = modelTarget(name, m.Owner, name, "", m)
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-func (b *builder) serviceReplicas(service string) []decide.Replica {
+func (b *tableBuilder) serviceReplicas(service string) []decide.Replica {
 	var replicas []decide.Replica
 	for i, s := range b.table.Servers {
 		if s.Pool == service {
@@ -122,7 +122,7 @@
 }
 
 // addReplicas adds what the servers of one failure domain are known to serve.
-func (b *builder) addReplicas(view *replay.ControlView) {
+func (b *tableBuilder) addReplicas(view *replay.ControlView) {
 	if view == nil {
 		return
 	}
@@ -139,7 +139,7 @@
 
 // addReplica adds one item; an adapter only where a version of its model is
 // ready beside it.
-func (b *builder) addReplica(server int, item infra.Item, beside []infra.Item) {
+func (b *tableBuilder) addReplica(server int, item infra.Item, beside []infra.Item) {
 	name, version := item.Model, item.Version
 	if item.Adapter != "" {
 		name = item.Adapter
@@ -164,7 +164,7 @@
 }
 
 // sortReplicas puts the declared version first.
-func (b *builder) sortReplicas() {
+func (b *tableBuilder) sortReplicas() {
 	for _, target := range b.table.Targets {
 		if target.Service {
 			continue
--- a/logsync/checkpointer.go
+++ b/logsync/checkpointer.go
@@ -12,24 +12,26 @@
 )
 
 const (
-	// MinRetention is what is assumed of the log: it keeps a record for at
-	// least this long. Every other bound is well below it.
+	// MinRetention is the shortest time for which the log is assumed to keep a
+	// record. All other time limits are well below it.
 	MinRetention = time.Hour
-	// DefaultCheckpointAge is when a stream's state is written again even if
-	// nothing changed, since the checkpoint itself ages out too: six times
-	// within the retention, so that five may fail.
+	// DefaultCheckpointAge is the age at which a checkpoint is replaced even if
+	// nothing changed, because checkpoints age out as well. There are six
+	// writes within the retention, of which five may fail.
 	DefaultCheckpointAge = MinRetention / 6
-	// DefaultCheckpointRecords is after how many records it is written again,
-	// so that a newcomer replays few: a day's configuration changes are 2,700.
+	// DefaultCheckpointRecords is the number of records after which a new
+	// checkpoint is written, so that a new instance replays few. There are 2,700
+	// configuration changes per day.
 	DefaultCheckpointRecords = 4000
-	// stepIn is how much later each next instance in rank writes a checkpoint
-	// that the ones before it didn't: long enough to read the other's first.
-	stepIn = 20 * time.Second
-	// checkpointTimeout bounds one write.
+	// checkpointTakeoverDelay is how much longer each instance waits than the
+	// one ranked before it. It is long enough to read the checkpoint that the
+	// other instance may have written.
+	checkpointTakeoverDelay = 20 * time.Second
+	// checkpointTimeout limits the time of one write.
 	checkpointTimeout = 30 * time.Second
 )
 
-// Source is what a Checkpointer needs of a Follower.
+// Source is the part of a Follower that a Checkpointer uses.
 type Source interface {
 	Stream() string
 	Status() Status
@@ -42,21 +44,22 @@
 	Source  Source
 	Writer  Appender
 	Self    string          // this instance's id
-	Members func() []string // the instances that may do it, as this one lists them
-	Age     time.Duration   // 0: DefaultCheckpointAge
-	Records int             // 0: DefaultCheckpointRecords
+	Members func() []string // returns the ids of all instances that may write checkpoints
+	Age     time.Duration   // between checkpoints, at most; 0: DefaultCheckpointAge
+	Records int             // between checkpoints, at most; 0: DefaultCheckpointRecords
 	Logger  logrus.FieldLogger
 }
 
-// Checkpointer is a duty: it writes a stream's whole state on the stream well
-// before the records that made it age out. The instance that ranks first for
-// the stream does it; the others step in one after another when it doesn't.
-// Two that do it at once do no harm.
+// Checkpointer is a background task that appends the whole state of a stream to
+// the stream well before the records that led to it age out. The instance that
+// ranks first for the stream writes the checkpoint. If no checkpoint appears,
+// the other instances take over one after another. Concurrent checkpoints are
+// harmless.
 type Checkpointer struct {
 	opts CheckpointerOptions
 }
 
-// NewCheckpointer returns the duty.
+// NewCheckpointer returns a checkpointer that Run starts.
 func NewCheckpointer(opts CheckpointerOptions) *Checkpointer {
 	if opts.Age == 0 {
 		opts.Age = DefaultCheckpointAge
@@ -72,16 +75,16 @@
 
 // Run writes checkpoints until ctx ends. It returns nil.
 func (c *Checkpointer) Run(ctx context.Context) error {
-	due := time.Time{} // when the records since the last checkpoint became too many
+	exceededSince := time.Time{} // when opts.Records was reached; zero: not reached
 	for ctx.Err() == nil {
 		changed := c.opts.Source.Changed()
-		at := c.opts.Source.Status()
-		due = c.countDue(at, due)
-		wait := time.Until(c.writeAt(at, due))
-		if at.CaughtUp && wait <= 0 {
-			c.write(ctx, at)
-			due = time.Time{}
-			sleep(ctx, jitter(stepIn))
+		status := c.opts.Source.Status()
+		exceededSince = c.countExceededSince(status, exceededSince)
+		wait := time.Until(c.writeTime(status, exceededSince))
+		if status.CaughtUp && wait <= 0 {
+			c.write(ctx, status)
+			exceededSince = time.Time{}
+			sleep(ctx, jitter(checkpointTakeoverDelay))
 			continue
 		}
 		awaitChange(ctx, changed, max(wait, time.Second))
@@ -89,30 +92,32 @@
 	return nil
 }
 
-// countDue returns when the records since the newest checkpoint first were too
-// many, or zero if they aren't.
-func (c *Checkpointer) countDue(at Status, due time.Time) time.Time {
-	if at.Offset < at.Checkpoint+infra.Offset(c.opts.Records) {
+// countExceededSince returns the time at which the number of records since the
+// newest checkpoint was first seen to reach the limit, or zero if it is below.
+func (c *Checkpointer) countExceededSince(status Status, exceededSince time.Time) time.Time {
+	if status.Offset < status.Checkpoint+infra.Offset(c.opts.Records) {
 		return time.Time{}
 	}
-	if due.IsZero() {
+	if exceededSince.IsZero() {
 		return time.Now()
 	}
-	return due
+	return exceededSince
 }
 
-// writeAt returns when this instance is to write, should no other do so first.
-func (c *Checkpointer) writeAt(at Status, due time.Time) time.Time {
+// writeTime returns the time at which this instance writes a checkpoint unless
+// another instance does so first.
+func (c *Checkpointer) writeTime(status Status, exceededSince time.Time) time.Time {
 	rank := rendezvous.Rank("checkpoint/"+c.opts.Source.Stream(), c.opts.Members(), c.opts.Self)
-	turn := time.Duration(rank) * stepIn
-	byAge := at.Since.Add(c.opts.Age)
-	if !due.IsZero() && due.Before(byAge) {
-		return due.Add(turn)
+	delay := time.Duration(rank) * checkpointTakeoverDelay
+	byAge := status.CheckpointReadAt.Add(c.opts.Age)
+	if !exceededSince.IsZero() && exceededSince.Before(byAge) {
+		return exceededSince.Add(delay)
 	}
-	return byAge.Add(turn)
+	return byAge.Add(delay)
 }
 
-func (c *Checkpointer) write(ctx context.Context, at Status) {
+// write appends the current state as a checkpoint.
+func (c *Checkpointer) write(ctx context.Context, status Status) {
 	checkpoint := c.opts.Source.Checkpoint()
 	if checkpoint == nil || checkpoint.GetCovers() == 0 {
 		return
@@ -124,16 +129,16 @@
 	entry := c.opts.Logger.WithFields(logrus.Fields{
 		"stream": c.opts.Source.Stream(),
 		"covers": checkpoint.GetCovers(),
-		"before": at.Checkpoint,
+		"before": status.Checkpoint,
 	})
 	if err != nil {
-		entry.WithField("error", err).Warn("checkpoint not written")
+		entry.WithField("error", err).Warn("checkpoint could not be written")
 		return
 	}
 	entry.WithField("offset", offset).Info("checkpoint written")
 }
 
-// awaitChange waits for the change, at most for d, or until ctx ends.
+// awaitChange waits until changed is closed, d has passed or ctx ends.
 func awaitChange(ctx context.Context, changed <-chan struct{}, d time.Duration) {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/logsync/cost_test.go
+++ b/logsync/cost_test.go
@@ -28,30 +28,31 @@
 	"greengageferry/traffic"
 )
 
-// bench follows one stream of a stand-in log over HTTP and counts what it costs.
-type bench[V any] struct {
-	b        *testing.B
-	log      *standin.Log
-	stream   string
-	vars     *expvar.Map
-	wire     *atomic.Int64 // bytes at the sockets, both ways, headers and all
-	follower *logsync.Follower[V]
+// costBench follows one stream of a simulated log over HTTP and measures the cost.
+type costBench[V any] struct {
+	b         *testing.B
+	log       *standin.Log
+	stream    string
+	counters  *expvar.Map
+	wireBytes *atomic.Int64 // bytes on the sockets in both directions, headers included
+	follower  *logsync.Follower[V]
 }
 
-func quietLogger() logrus.FieldLogger {
+func discardLogger() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-func follow[V any](b *testing.B, stream string, machine logsync.State[V]) *bench[V] {
-	c := &bench[V]{b: b, log: standin.NewLog(standin.LogOptions{AppendsPerSecond: 1e6}), stream: stream, vars: new(expvar.Map), wire: new(atomic.Int64)}
+// newCostBench starts a follower of the stream on a simulated log.
+func newCostBench[V any](b *testing.B, stream string, machine logsync.ViewMachine[V]) *costBench[V] {
+	c := &costBench[V]{b: b, log: standin.NewLog(standin.LogOptions{AppendsPerSecond: 1e6}), stream: stream, counters: new(expvar.Map), wireBytes: new(atomic.Int64)}
 	server := httptest.NewServer(c.log)
-	base := countedTransport(c.wire)
-	client := &http.Client{Transport: &traffic.Transport{Base: base, Counters: traffic.NewCounters(c.vars)}}
+	base := countingTransport(c.wireBytes)
+	client := &http.Client{Transport: &traffic.Transport{Base: base, Counters: traffic.NewCounters(c.counters)}}
 	c.follower = logsync.NewFollower(logsync.FollowerOptions[V]{
-		Log: infra.NewHTTPLog(server.URL, client), Stream: stream, Spacing: -1, Logger: quietLogger(),
-		New: func(infra.Offset) logsync.State[V] { return machine },
+		Log: infra.NewHTTPLog(server.URL, client), Stream: stream, ReadInterval: -1, Logger: discardLogger(),
+		New: func(infra.Offset) logsync.ViewMachine[V] { return machine },
 	})
 	ctx, cancel := context.WithCancel(b.Context())
 	var group errgroup.Group
@@ -65,36 +66,36 @@
 	return c
 }
 
-// countedConn counts what a client's connection sends and receives.
-type countedConn struct {
+// countingConn counts the bytes that a client's connection sends and receives.
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c countedConn) Read(p []byte) (int, error) {
+func (c countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func countedTransport(bytes *atomic.Int64) *http.Transport {
+func countingTransport(bytes *atomic.Int64) *http.Transport {
 	return &http.Transport{DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := new(net.Dialer).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		return countedConn{Conn: conn, bytes: bytes}, nil
+		return countingConn{Conn: conn, bytes: bytes}, nil
 	}}
 }
 
-// put appends records and waits until the follower has read them.
-func (c *bench[V]) put(records ...*record.Record) {
+// appendAndWait appends records and waits until the follower has applied them.
+func (c *costBench[V]) appendAndWait(records ...*record.Record) {
 	var data [][]byte
 	for _, r := range records {
 		encoded, err := proto.Marshal(r)
@@ -106,32 +107,33 @@
 	require.NoError(c.b, c.follower.WaitFor(c.b.Context(), first+infra.Offset(len(records))-1))
 }
 
-func (c *bench[V]) received() int64 {
-	v, _ := c.vars.Get("read.received_bytes").(*expvar.Int)
+// received returns the bytes received in the bodies of reads.
+func (c *costBench[V]) received() int64 {
+	v, _ := c.counters.Get("read.received_bytes").(*expvar.Int)
 	if v == nil {
 		return 0
 	}
 	return v.Value()
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measure runs op again and again and reports what one costs. The processor
-// time has the stand-in's own part in it.
-func (c *bench[V]) measure(op func(i int)) {
-	bytes, wire, cpu := c.received(), c.wire.Load(), processorTime()
+// measure runs op repeatedly and reports the cost of one run. The CPU time includes
+// that of the simulated log.
+func (c *costBench[V]) measure(op func(i int)) {
+	bytes, wireBytes, cpu := c.received(), c.wireBytes.Load(), cpuTime()
 	i := 0
 	for c.b.Loop() {
 		op(i)
 		i++
 	}
 	c.b.ReportMetric(float64(c.received()-bytes)/float64(i), "bytes/op")
-	c.b.ReportMetric(float64(c.wire.Load()-wire)/float64(i), "wire-bytes/op")
-	c.b.ReportMetric(float64((processorTime()-cpu).Microseconds())/float64(i), "cpu-us/op")
+	c.b.ReportMetric(float64(c.wireBytes.Load()-wireBytes)/float64(i), "wire-bytes/op")
+	c.b.ReportMetric(float64((cpuTime()-cpu).Microseconds())/float64(i), "cpu-us/op")
 }
 
 func items(n int) []*record.Item {
@@ -152,40 +154,41 @@
 	return &record.Record{Body: &record.Record_LeaseClaim{LeaseClaim: &record.LeaseClaim{Holder: "entry-0001", DurationMs: 8000}}}
 }
 
-// BenchmarkCostControl: what one record of a failure domain's control stream
-// costs a reader, by the servers of the domain and the items of a server.
+// BenchmarkCostControl measures the cost to a follower of one record on a failure
+// domain's control stream, by servers in the domain and items per server.
 func BenchmarkCostControl(b *testing.B) {
 	for _, servers := range []int{20, 100, 211} {
 		for _, n := range []int{2, 8, 32} {
 			b.Run(fmt.Sprintf("servers=%d/items=%d", servers, n), func(b *testing.B) {
-				c := follow[replay.ControlView](b, infra.ControlStream("dock-hall-a"), replay.NewControl())
-				c.put(lease())
+				c := newCostBench[replay.ControlView](b, infra.ControlStream("dock-hall-a"), replay.NewControl())
+				c.appendAndWait(lease())
 				for s := range servers {
-					c.put(assignment(s, n))
+					c.appendAndWait(assignment(s, n))
 				}
-				c.measure(func(i int) { c.put(assignment(i%servers, n)) })
+				c.measure(func(i int) { c.appendAndWait(assignment(i%servers, n)) })
 			})
 		}
 	}
 }
 
-// BenchmarkCostRenewal: what one lease renewal costs a reader of the stream.
+// BenchmarkCostRenewal measures the cost of one lease renewal to a follower of the
+// control stream.
 func BenchmarkCostRenewal(b *testing.B) {
 	for _, servers := range []int{20, 100, 211} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			c := follow[replay.ControlView](b, infra.ControlStream("dock-hall-a"), replay.NewControl())
-			c.put(lease())
+			c := newCostBench[replay.ControlView](b, infra.ControlStream("dock-hall-a"), replay.NewControl())
+			c.appendAndWait(lease())
 			for s := range servers {
-				c.put(assignment(s, 8))
+				c.appendAndWait(assignment(s, 8))
 			}
 			c.measure(func(int) {
-				c.put(&record.Record{Body: &record.Record_LeaseRenewal{LeaseRenewal: &record.LeaseRenewal{Lease: 1}}})
+				c.appendAndWait(&record.Record{Body: &record.Record_LeaseRenewal{LeaseRenewal: &record.LeaseRenewal{Lease: 1}}})
 			})
 		})
 	}
 }
 
-// modelFile declares n models.
+// modelFile returns a configuration file that declares n models.
 func modelFile(from, n, generation int) string {
 	var text strings.Builder
 	for i := range n {
@@ -194,17 +197,17 @@
 	return text.String()
 }
 
-// BenchmarkCostConfig: what one change of a file, with its verdict and the
-// building of what is then in force, costs an instance, by the models of all
-// files and of the file.
+// BenchmarkCostConfig measures the cost to an instance of one change to a file,
+// with its verdict and the build of the configuration then in force, by the number
+// of models in all files and in the file.
 func BenchmarkCostConfig(b *testing.B) {
 	for _, size := range []struct{ models, file int }{{100, 10}, {400, 10}, {870, 10}, {870, 50}, {870, 145}} {
 		b.Run(fmt.Sprintf("models=%d/file=%d", size.models, size.file), func(b *testing.B) {
-			c := follow[replay.ConfigView](b, infra.StreamConfig, replay.NewConfig())
+			c := newCostBench[replay.ConfigView](b, infra.StreamConfig, replay.NewConfig())
 			builder := config.NewBuilder()
 			change := func(file, content string) {
 				next := c.follower.Status().Offset + 1
-				c.put(&record.Record{Body: &record.Record_ConfigChange{ConfigChange: &record.ConfigChange{
+				c.appendAndWait(&record.Record{Body: &record.Record_ConfigChange{ConfigChange: &record.ConfigChange{
 					File: file, Partner: "kitchen", Author: "ana", Content: []byte(content)}}},
 					&record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: &record.ConfigVerdict{Change: uint64(next), Accepted: true, File: file}}})
 				_, _, refusal := builder.InForce(logsync.Files(c.follower.View()))
@@ -219,24 +222,24 @@
 	}
 }
 
-// BenchmarkCostIdleRead: what a read that brings nothing costs; a follower makes
-// one in DefaultPoll.
+// BenchmarkCostIdleRead measures the cost of a read without new records. A follower
+// of an idle stream makes one read per DefaultPollTimeout.
 func BenchmarkCostIdleRead(b *testing.B) {
-	c := follow[replay.ConfigView](b, infra.StreamConfig, replay.NewConfig())
-	c.put(&record.Record{})
+	c := newCostBench[replay.ConfigView](b, infra.StreamConfig, replay.NewConfig())
+	c.appendAndWait(&record.Record{})
 	server := httptest.NewServer(c.log)
 	defer server.Close()
-	base := countedTransport(c.wire)
+	base := countingTransport(c.wireBytes)
 	defer base.CloseIdleConnections()
-	log := infra.NewHTTPLog(server.URL, &http.Client{Transport: &traffic.Transport{Base: base, Counters: traffic.NewCounters(c.vars)}})
+	log := infra.NewHTTPLog(server.URL, &http.Client{Transport: &traffic.Transport{Base: base, Counters: traffic.NewCounters(c.counters)}})
 	c.measure(func(int) {
 		_, err := log.Read(b.Context(), infra.StreamConfig, 2, 10, time.Millisecond)
 		require.NoError(b, err)
 	})
 }
 
-// BenchmarkCostState: the bytes of the state that a peer sends to a newcomer
-// while the log is down.
+// BenchmarkCostState measures the size of the state that a peer sends to a new
+// instance while the log is down.
 func BenchmarkCostState(b *testing.B) {
 	for _, servers := range []int{20, 100, 211} {
 		b.Run(fmt.Sprintf("control/servers=%d", servers), func(b *testing.B) {
@@ -263,6 +266,7 @@
 	}
 }
 
+// reportState reports the encoded size of the machine's checkpoint.
 func reportState(b *testing.B, m replay.Machine) {
 	size := 0
 	for b.Loop() {
--- a/logsync/errors.go
+++ b/logsync/errors.go
@@ -6,40 +6,40 @@
 	"greengageferry/infra"
 )
 
-// BehindError says that a follower had not read far enough in time.
+// BehindError reports that a follower did not reach an offset in time.
 type BehindError struct {
 	Stream string
-	Wanted infra.Offset
-	Offset infra.Offset // last applied
+	Wanted infra.Offset // the offset to reach
+	Offset infra.Offset // the last applied offset
 	Err    error        // why the wait ended
 }
 
 // Error implements error.
 func (e *BehindError) Error() string {
-	return fmt.Sprintf("stream %s: offset %d wanted, at %d: %v", e.Stream, e.Wanted, e.Offset, e.Err)
+	return fmt.Sprintf("stream %s: waiting for offset %d, last applied is %d: %v", e.Stream, e.Wanted, e.Offset, e.Err)
 }
 
-// Unwrap returns why the wait ended.
+// Unwrap returns the reason why the wait ended.
 func (e *BehindError) Unwrap() error { return e.Err }
 
-// GapError says that the log answered a read with records missing.
+// GapError reports that the log skipped records in its answer to a read.
 type GapError struct {
-	Stream string
-	Offset infra.Offset // last applied
-	Oldest infra.Offset // the next record that came
+	Stream     string
+	Offset     infra.Offset // last applied
+	NextOffset infra.Offset // the offset of the record that was read next
 }
 
 // Error implements error.
 func (e *GapError) Error() string {
-	return fmt.Sprintf("stream %s: after offset %d came %d", e.Stream, e.Offset, e.Oldest)
+	return fmt.Sprintf("stream %s: records missing between offsets %d and %d", e.Stream, e.Offset, e.NextOffset)
 }
 
-// NoStateError says that records aged out, or the log is down, and neither a
-// checkpoint nor a peer makes up for it.
+// NoStateError reports that records have aged out or the log is down, and that
+// neither a checkpoint on the log nor a peer provides the missing state.
 type NoStateError struct {
 	Stream  string
-	AtLeast infra.Offset // what a state would have to cover
-	Err     error        // the peers' failure; nil: there are none to ask
+	AtLeast infra.Offset // the offset that the state must cover
+	Err     error        // why the peers did not provide it; nil: no peers are configured
 }
 
 // Error implements error.
@@ -47,5 +47,5 @@
 	return fmt.Sprintf("stream %s: no state that covers offset %d: %v", e.Stream, e.AtLeast, e.Err)
 }
 
-// Unwrap returns the peers' failure.
+// Unwrap returns the error from the peers.
 func (e *NoStateError) Unwrap() error { return e.Err }
--- a/logsync/follower.go
+++ b/logsync/follower.go
@@ -18,34 +18,34 @@
 	"greengageferry/replay"
 )
 
-// Defaults of a Follower.
+// Defaults and limits of a Follower.
 const (
-	// DefaultPoll is how long a read waits for news: one read in that time is
-	// all that an idle stream costs.
-	DefaultPoll = 20 * time.Second
-	// DefaultBatch is the most records of one read: a reader that is far
-	// behind needs few reads, and one answer stays in memory.
-	DefaultBatch = 512
-	// DefaultSpacing is the mean time between two reads that bring records, at
-	// the least: on a busy stream records come several at once. It adds to how
-	// late a record is seen there.
-	DefaultSpacing = 50 * time.Millisecond
-	// spacingBurst is how many such reads may follow one another without it
-	// after a quiet time: a newcomer, and a burst of changes on a quiet stream,
-	// are not held up, and the mean stays.
-	spacingBurst = 16
-	// readSlack is how much longer than its wait a read may take before it is
-	// given up.
-	readSlack = 5 * time.Second
-	// minBackoff and maxBackoff bound the pause after a failed read. Jitter
-	// keeps hundreds of readers from coming back at once.
+	// DefaultPollTimeout is how long a read waits for new records. An idle stream
+	// costs one read in that time.
+	DefaultPollTimeout = 20 * time.Second
+	// MaxReadRecords is the maximum number of records per read. A follower that
+	// is far behind needs few reads, and each answer fits in memory.
+	MaxReadRecords = 512
+	// DefaultReadInterval is the minimum mean time between two reads that return
+	// records, so that reads of a busy stream return several records each. The
+	// interval adds to the latency of records on a busy stream.
+	DefaultReadInterval = 50 * time.Millisecond
+	// readBurst is the number of such reads that may follow one another without
+	// a pause after an idle period. A new follower, and a burst of changes on an
+	// idle stream, are not delayed, and the mean interval still holds.
+	readBurst = 16
+	// readTimeoutMargin is added to the poll timeout of a read to get the timeout
+	// of the call. It also limits a request for the state of the peers.
+	readTimeoutMargin = 5 * time.Second
+	// minBackoff and maxBackoff limit the pause after a failed read or append.
+	// Jitter keeps hundreds of instances from retrying at the same time.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 3 * time.Second
 )
 
-// State is a replay machine that shows itself by views of type V, which are
-// immutable or guard themselves.
-type State[V any] interface {
+// ViewMachine is a state machine that provides its state as views of type V.
+// Views are immutable or safe for concurrent use.
+type ViewMachine[V any] interface {
 	replay.Machine
 	View() *V
 }
@@ -54,53 +54,54 @@
 type FollowerOptions[V any] struct {
 	Log    infra.Log
 	Stream string
-	// New returns an empty machine for a stream that is read from an offset on.
-	New func(from infra.Offset) State[V]
-	// Peers gives the state while the log can't. Nil: nobody does.
+	// New returns an empty state machine for a stream whose first record to be
+	// applied has the offset from.
+	New func(from infra.Offset) ViewMachine[V]
+	// Peers provides the state when the log can't; nil: no peers are asked.
 	Peers StateSource
-	// FromOldest takes a stream that has no checkpoints from its oldest kept
-	// record on, as if nothing had been before it.
-	FromOldest bool
-	Poll       time.Duration // 0: DefaultPoll
-	Spacing    time.Duration // 0: DefaultSpacing; below 0: none
-	Logger     logrus.FieldLogger
-	Metrics    *expvar.Map
+	// FromOldest starts a stream without checkpoints at the oldest record that
+	// the log still has, and ignores the records before it.
+	FromOldest   bool
+	PollTimeout  time.Duration // 0: DefaultPollTimeout
+	ReadInterval time.Duration // 0: DefaultReadInterval; below 0: no pause
+	Logger       logrus.FieldLogger
+	Metrics      *expvar.Map
 }
 
-// Follower is a duty: it reads one stream into a machine. Its methods may be
-// called from any goroutine.
+// Follower is a background task that reads one stream and applies its records to
+// a state machine. Its methods are safe for concurrent use.
 type Follower[V any] struct {
 	opts FollowerOptions[V]
 
-	mu      sync.Mutex   // guards machine and what follows
-	machine State[V]     // nil before a start was found
-	skipped infra.Offset // up to here records aged out that don't count, with FromOldest
-	status  Status
-	changed chan struct{} // closed at the next change
+	mu             sync.Mutex     // guards machine, skippedThrough, status and changed
+	machine        ViewMachine[V] // nil until the follower knows where to start
+	skippedThrough infra.Offset   // with FromOldest: records up to this offset have aged out and are ignored
+	status         Status
+	changed        chan struct{} // closed at the next change, then replaced
 
 	view atomic.Pointer[V]
 }
 
-// Status says how far a Follower is.
+// Status describes the progress of a Follower.
 type Status struct {
-	Started    bool         // there is a view
-	FromPeer   bool         // the newest start came from a peer, and the log was not read since
-	CaughtUp   bool         // the newest read reached the stream's end
-	Offset     infra.Offset // last applied
-	Next       infra.Offset // the offset that the next append gets, as of the newest read
-	Read       time.Time    // when the newest read succeeded; zero: never
-	Checkpoint infra.Offset // what the newest checkpoint read from the log covers
-	Since      time.Time    // when that was read, or the follower started
-	Unknown    uint64       // records that could not be decoded
+	Started          bool         // a view exists
+	FromPeer         bool         // the state comes from a peer, and the log has not been read since
+	CaughtUp         bool         // the newest read reached the end of the stream
+	Offset           infra.Offset // the last applied offset
+	Next             infra.Offset // the offset of the next append, as of the newest read
+	LastRead         time.Time    // the time of the newest successful read; zero: none
+	Checkpoint       infra.Offset // the offset covered by the newest checkpoint read from the log
+	CheckpointReadAt time.Time    // when that checkpoint was read, or when the follower started
+	Undecoded        uint64       // number of records that could not be decoded
 }
 
 // NewFollower returns a follower that has read nothing.
 func NewFollower[V any](opts FollowerOptions[V]) *Follower[V] {
-	if opts.Poll == 0 {
-		opts.Poll = DefaultPoll
+	if opts.PollTimeout == 0 {
+		opts.PollTimeout = DefaultPollTimeout
 	}
-	if opts.Spacing == 0 {
-		opts.Spacing = DefaultSpacing
+	if opts.ReadInterval == 0 {
+		opts.ReadInterval = DefaultReadInterval
 	}
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
@@ -112,46 +113,46 @@
 	return &Follower[V]{opts: opts, changed: make(chan struct{})}
 }
 
-// View returns the newest view, or nil before there is one. It never goes back
-// to an older offset.
+// View returns the newest view, or nil if there is none yet. Later calls never
+// return a view at an older offset.
 func (f *Follower[V]) View() *V { return f.view.Load() }
 
-// Stream returns the stream's name.
+// Stream returns the name of the stream.
 func (f *Follower[V]) Stream() string { return f.opts.Stream }
 
-// Status returns how far the follower is.
+// Status returns the progress of the follower.
 func (f *Follower[V]) Status() Status {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.status
 }
 
-// Changed returns a channel that is closed at the next change of the view or
-// of the status. Take it before looking at what may change.
+// Changed returns a channel that is closed at the next change of the view or the
+// status. To miss no change, call Changed before View or Status.
 func (f *Follower[V]) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.changed
 }
 
-// WaitFor waits until the record at the offset was applied. It returns a
-// *BehindError when ctx ends first.
+// WaitFor waits until the record at the offset has been applied. It returns a
+// *BehindError if ctx ends first.
 func (f *Follower[V]) WaitFor(ctx context.Context, offset infra.Offset) error {
 	for {
 		changed := f.Changed()
-		at := f.Status()
-		if at.Started && at.Offset >= offset {
+		status := f.Status()
+		if status.Started && status.Offset >= offset {
 			return nil
 		}
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return &BehindError{Stream: f.opts.Stream, Wanted: offset, Offset: at.Offset, Err: ctx.Err()}
+			return &BehindError{Stream: f.opts.Stream, Wanted: offset, Offset: status.Offset, Err: ctx.Err()}
 		}
 	}
 }
 
-// Checkpoint returns the whole state now, or nil before there is any.
+// Checkpoint returns the whole current state, or nil if there is none yet.
 func (f *Follower[V]) Checkpoint() *record.Checkpoint {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -161,17 +162,17 @@
 	return f.machine.Checkpoint()
 }
 
-// Run reads until ctx ends. It returns nil.
+// Run follows the stream until ctx ends. It returns nil.
 func (f *Follower[V]) Run(ctx context.Context) error {
-	f.begin()
+	f.initCheckpointTime()
 	pause := minBackoff
-	spacing := rate.NewLimiter(rate.Every(f.opts.Spacing), spacingBurst) // below 0: none
+	spacing := rate.NewLimiter(rate.Every(f.opts.ReadInterval), readBurst) // below 0: no limit
 	for ctx.Err() == nil {
-		records, err := f.step(ctx)
+		records, err := f.readOnce(ctx)
 		switch {
 		case ctx.Err() != nil:
 		case err != nil:
-			f.failed(ctx, err)
+			f.handleReadError(ctx, err)
 			sleep(ctx, jitter(pause))
 			pause = min(2*pause, maxBackoff)
 		default:
@@ -184,27 +185,29 @@
 	return nil
 }
 
-func (f *Follower[V]) begin() {
+// initCheckpointTime sets CheckpointReadAt to the time of the first start.
+func (f *Follower[V]) initCheckpointTime() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.status.Since.IsZero() {
-		f.status.Since = time.Now()
+	if f.status.CheckpointReadAt.IsZero() {
+		f.status.CheckpointReadAt = time.Now()
 	}
 }
 
-// step makes one read from where the follower is and applies what comes.
-func (f *Follower[V]) step(ctx context.Context) (records int, err error) {
-	if !f.placed() {
+// readOnce starts the follower or makes one read, and applies the records. It
+// returns the number of records read after the start.
+func (f *Follower[V]) readOnce(ctx context.Context) (records int, err error) {
+	if !f.hasMachine() {
 		return 0, f.start(ctx)
 	}
-	at := f.Status()
-	wait := f.opts.Poll
-	if !at.CaughtUp {
-		wait = 0 // to know the stream's end at once, also where nothing is new
+	status := f.Status()
+	wait := f.opts.PollTimeout
+	if !status.CaughtUp {
+		wait = 0 // learn the end of the stream at once, even without new records
 	}
-	batch, err := f.read(ctx, at.Offset+1, wait)
+	batch, err := f.read(ctx, status.Offset+1, wait)
 	if isOutOfRange(err) {
-		return 0, f.bridge(ctx, batch)
+		return 0, f.restoreAgedOut(ctx, batch)
 	}
 	if err != nil {
 		return 0, err
@@ -212,47 +215,48 @@
 	return len(batch.Records), f.apply(batch)
 }
 
-// placed says whether the follower knows where to read on.
-func (f *Follower[V]) placed() bool {
+// hasMachine reports whether the follower has started and so has a state machine.
+func (f *Follower[V]) hasMachine() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.machine != nil
 }
 
+// read reads records from the offset from on, and waits up to wait for the first.
 func (f *Follower[V]) read(ctx context.Context, from infra.Offset, wait time.Duration) (infra.Batch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+readSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+readTimeoutMargin)
 	defer cancel()
-	return f.opts.Log.Read(ctx, f.opts.Stream, from, DefaultBatch, wait)
+	return f.opts.Log.Read(ctx, f.opts.Stream, from, MaxReadRecords, wait)
 }
 
-// apply steps the machine through the batch and shows the new view.
+// apply applies the batch to the state machine and publishes the new view.
 func (f *Follower[V]) apply(batch infra.Batch) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range batch.Records {
-		at := f.position()
-		if r.Offset <= at {
+		applied := f.position()
+		if r.Offset <= applied {
 			continue
 		}
-		if r.Offset != at+1 {
-			return &GapError{Stream: f.opts.Stream, Offset: at, Oldest: r.Offset}
+		if r.Offset != applied+1 {
+			return &GapError{Stream: f.opts.Stream, Offset: applied, NextOffset: r.Offset}
 		}
-		f.applyOne(r)
+		f.applyRecord(r)
 	}
 	f.status.Next = batch.Next
-	f.status.Read = time.Now()
+	f.status.LastRead = time.Now()
 	f.status.FromPeer = false
 	f.status.CaughtUp = f.position()+1 >= batch.Next
-	f.show()
+	f.publishView()
 	return nil
 }
 
-// applyOne steps the machine with one record. One that can't be decoded still
-// takes its place, so that the offset moves on.
-func (f *Follower[V]) applyOne(r infra.Record) {
+// applyRecord applies one record to the state machine. A record that can't be
+// decoded is applied as an empty one, so that the offset advances.
+func (f *Follower[V]) applyRecord(r infra.Record) {
 	decoded := &record.Record{}
 	if err := proto.Unmarshal(r.Data, decoded); err != nil {
-		f.status.Unknown++
+		f.status.Undecoded++
 		f.opts.Metrics.Add("undecoded_records", 1)
 		f.opts.Logger.WithFields(logrus.Fields{"offset": r.Offset, "error": err}).Warn("record not understood")
 		decoded = &record.Record{}
@@ -260,18 +264,18 @@
 	f.machine.Apply(r.Offset, decoded)
 	if c := decoded.GetCheckpoint(); c != nil {
 		f.status.Checkpoint = max(f.status.Checkpoint, infra.Offset(c.GetCovers()))
-		f.status.Since = time.Now()
+		f.status.CheckpointReadAt = time.Now()
 	}
 }
 
-// position returns the offset up to which everything was read or doesn't count.
+// position returns the offset up to which all records are applied or ignored.
 func (f *Follower[V]) position() infra.Offset {
-	return max(f.machine.Offset(), f.skipped)
+	return max(f.machine.Offset(), f.skippedThrough)
 }
 
-// show publishes the machine's view and wakes those who wait. It is called
-// with mu held.
-func (f *Follower[V]) show() {
+// publishView publishes the state machine's view and closes the channel that
+// Changed returned. The caller holds mu.
+func (f *Follower[V]) publishView() {
 	f.status.Started = true
 	f.status.Offset = f.position()
 	f.view.Store(f.machine.View())
@@ -279,9 +283,10 @@
 	f.changed = make(chan struct{})
 }
 
-// failed notes a failed read. A peer that the log still answers, or did until
-// later, may know more: one that doesn't says so in a few bytes.
-func (f *Follower[V]) failed(ctx context.Context, err error) {
+// handleReadError records a failed read and asks the peers for a newer state. A
+// peer may still reach the log, or may have lost it later than this instance. An
+// answer without a newer state takes only a few bytes.
+func (f *Follower[V]) handleReadError(ctx context.Context, err error) {
 	f.opts.Metrics.Add("read_failures", 1)
 	f.opts.Logger.WithField("error", err).Warn("log read failed")
 	f.mu.Lock()
@@ -290,11 +295,12 @@
 	if f.opts.Peers == nil {
 		return
 	}
-	if err := f.fromPeers(ctx, f.Status().Offset+1); err != nil {
-		f.opts.Logger.WithField("error", err).Debug("no newer state from peers")
+	if err := f.restoreFromPeers(ctx, f.Status().Offset+1); err != nil {
+		f.opts.Logger.WithField("error", err).Debug("no newer state available from peers")
 	}
 }
 
+// isOutOfRange reports whether a read failed because its records have aged out.
 func isOutOfRange(err error) bool {
 	var failed *infra.Error
 	return errors.As(err, &failed) && failed.Reason == infra.ReasonOutOfRange
--- a/logsync/judge.go
+++ b/logsync/judge.go
@@ -15,19 +15,19 @@
 )
 
 const (
-	// judgeStepIn is how much later each next instance in rank judges a change
-	// that the ones before it didn't. A change has to be in force within 8 s of
-	// its acceptance, and acceptance shouldn't take its author longer either.
-	judgeStepIn = 2 * time.Second
-	// judgeDoubt is how much later an instance judges whose program doesn't
-	// understand what is in force: one that does goes first, but a change is
-	// never left without a verdict.
-	judgeDoubt = 20 * time.Second
-	// verdictTimeout bounds one write of a verdict.
+	// judgeTakeoverDelay is how much longer each instance waits than the one
+	// ranked before it. A change must be in force within 8 s of its acceptance,
+	// and its author should not wait longer for the acceptance itself.
+	judgeTakeoverDelay = 2 * time.Second
+	// unreadableConfigDelay is the additional delay of an instance whose
+	// program version doesn't fully support the configuration in force. Instances
+	// that support it go first, but every change gets a verdict.
+	unreadableConfigDelay = 20 * time.Second
+	// verdictTimeout limits the time to append one verdict.
 	verdictTimeout = 10 * time.Second
 )
 
-// ConfigSource is what a Judge needs of the config stream's Follower.
+// ConfigSource is the part of the config stream's Follower that a Judge uses.
 type ConfigSource interface {
 	View() *replay.ConfigView
 	Status() Status
@@ -40,20 +40,22 @@
 	Source  ConfigSource
 	Writer  Appender
 	Self    string          // this instance's id
-	Members func() []string // the entry instances, as this one lists them
+	Members func() []string // returns the ids of the entry instances
 	Program string          // this program's version
 	Logger  logrus.FieldLogger
 }
 
-// Judge is a duty: it puts the verdict on the oldest configuration change
-// without one. The instance that ranks first for the change does it, the others
-// step in one after another. Two verdicts do no harm: the first stands.
+// Judge is a background task that validates the oldest pending configuration
+// change and appends a verdict that accepts or rejects the change. The instance
+// that ranks first for the change does so. If no verdict appears, the other
+// instances take over one after another. Further verdicts on a change are
+// harmless, because only the first counts.
 type Judge struct {
 	opts    JudgeOptions
 	builder *config.Builder
 }
 
-// NewJudge returns the duty.
+// NewJudge returns a judge that Run starts.
 func NewJudge(opts JudgeOptions) *Judge {
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
@@ -61,52 +63,55 @@
 	return &Judge{opts: opts, builder: config.NewBuilder()}
 }
 
-// Run judges until ctx ends. It returns nil.
+// Run validates pending changes until ctx ends. It returns nil.
 func (j *Judge) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		changed := j.opts.Source.Changed()
 		view := j.opts.Source.View()
 		if view == nil || len(view.Pending) == 0 || !j.opts.Source.Status().CaughtUp {
-			awaitChange(ctx, changed, DefaultPoll)
+			awaitChange(ctx, changed, DefaultPollTimeout)
 			continue
 		}
-		j.judgeFirst(ctx, view)
+		j.judgeOldest(ctx, view)
 	}
 	return nil
 }
 
-// judgeFirst waits for its turn on the oldest change, and judges it unless
-// another verdict came first.
-func (j *Judge) judgeFirst(ctx context.Context, view *replay.ConfigView) {
+// judgeOldest waits for this instance's delay on the oldest pending change, then
+// validates the change unless it has a verdict by then.
+func (j *Judge) judgeOldest(ctx context.Context, view *replay.ConfigView) {
 	pending := view.Pending[0]
 	turn := time.Now().Add(j.delay(view, pending.Offset))
 	for ctx.Err() == nil && time.Now().Before(turn) {
 		changed := j.opts.Source.Changed()
-		if now := j.opts.Source.View(); !waits(now, pending.Offset) {
+		if now := j.opts.Source.View(); !isOldestPending(now, pending.Offset) {
 			return
 		}
 		awaitChange(ctx, changed, time.Until(turn))
 	}
-	if now := j.opts.Source.View(); ctx.Err() == nil && waits(now, pending.Offset) {
+	if now := j.opts.Source.View(); ctx.Err() == nil && isOldestPending(now, pending.Offset) {
 		j.write(ctx, now)
 	}
 }
 
-// waits says whether the change is still the next to be judged.
-func waits(view *replay.ConfigView, change infra.Offset) bool {
+// isOldestPending reports whether the change at the offset is the oldest one
+// without a verdict.
+func isOldestPending(view *replay.ConfigView, change infra.Offset) bool {
 	return len(view.Pending) > 0 && view.Pending[0].Offset == change
 }
 
+// delay returns how long this instance waits before it validates the change.
 func (j *Judge) delay(view *replay.ConfigView, change infra.Offset) time.Duration {
 	key := "judge/" + strconv.FormatUint(uint64(change), 10)
-	delay := time.Duration(rendezvous.Rank(key, j.opts.Members(), j.opts.Self)) * judgeStepIn
+	delay := time.Duration(rendezvous.Rank(key, j.opts.Members(), j.opts.Self)) * judgeTakeoverDelay
 	if _, _, refusal := j.builder.InForce(Files(view)); refusal != nil {
-		j.opts.Logger.WithField("error", refusal).Warn("configuration in force not fully understood")
-		delay += judgeDoubt
+		j.opts.Logger.WithField("error", refusal).Warn("configuration in force not fully supported by this program version")
+		delay += unreadableConfigDelay
 	}
 	return delay
 }
 
+// write appends the verdict on the oldest pending change.
 func (j *Judge) write(ctx context.Context, view *replay.ConfigView) {
 	pending := view.Pending[0]
 	verdict := j.builder.Judge(Files(view), pending.Change)
@@ -126,17 +131,17 @@
 	r := &record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: verdict}}
 	offset, err := j.opts.Writer.Append(ctx, infra.StreamConfig, r)
 	if err != nil {
-		entry.WithField("error", err).Warn("verdict not written")
+		entry.WithField("error", err).Warn("verdict on configuration change could not be written")
 		sleep(ctx, jitter(minBackoff))
 		return
 	}
 	entry.WithField("offset", offset).Info("configuration change judged")
 	if err := j.opts.Source.WaitFor(ctx, offset); err != nil {
-		j.opts.Logger.WithField("error", err).Warn("verdict not read back yet")
+		j.opts.Logger.WithField("error", err).Warn("verdict on configuration change not yet read from the log")
 	}
 }
 
-// Files returns the view's files in the form that package config builds from.
+// Files returns the files of the view as input for package config.
 func Files(view *replay.ConfigView) []config.File {
 	out := make([]config.File, len(view.Files))
 	for i, f := range view.Files {
--- a/logsync/judge_test.go
+++ b/logsync/judge_test.go
@@ -18,21 +18,24 @@
 	"greengageferry/replay"
 )
 
-// inForceWithin is what the users were promised from acceptance on.
+// inForceWithin is the guaranteed time from the acceptance of a change until it is
+// in force on all instances.
 const inForceWithin = 8 * time.Second
 
-func judged(t *testing.T, log *logtest.Log, ids ...string) []*node {
+// startJudges returns a node with a running judge for each id.
+func startJudges(t *testing.T, log *logtest.Log, ids ...string) []*node {
 	var nodes []*node
 	for _, id := range ids {
 		n := newNode(t, log, id, nil)
-		n.judge(ids...)
+		n.runJudge(ids...)
 		nodes = append(nodes, n)
 	}
 	return nodes
 }
 
-// verdictOn waits until the change at the offset has its verdict.
-func (n *node) verdictOn(t *testing.T, offset infra.Offset) *replay.ConfigView {
+// waitForVerdict waits until the change at the offset has its verdict, and returns
+// the view at that time.
+func (n *node) waitForVerdict(t *testing.T, offset infra.Offset) *replay.ConfigView {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 	defer cancel()
 	for {
@@ -43,12 +46,12 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			require.FailNow(t, "no verdict")
+			require.FailNow(t, "no verdict within ten minutes")
 		}
 	}
 }
 
-func TestInForceEverywhereWithinSeconds(t *testing.T) {
+func TestChangeIsInForceEverywhereWithinDeadline(t *testing.T) {
 	for _, delay := range []time.Duration{0, 5 * time.Millisecond, 250 * time.Millisecond, time.Second} {
 		t.Run(delay.String(), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -57,19 +60,19 @@
 				for i := range 18 {
 					ids = append(ids, fmt.Sprintf("n%d", i))
 				}
-				nodes := judged(t, log, ids...)
+				nodes := startJudges(t, log, ids...)
 				for _, n := range nodes {
-					n.client.Set(logtest.Faults{Delay: delay})
+					n.client.SetFaults(logtest.Faults{Delay: delay})
 				}
 				time.Sleep(5*time.Second + 7*time.Millisecond)
 				proposed := time.Now()
-				offset := nodes[0].put(t, change("x.toml", "", 0))
+				offset := nodes[0].appendRecords(t, configChange("x.toml", "", 0))
 				for len(log.Records(infra.StreamConfig)) < 2 {
 					time.Sleep(time.Millisecond)
 				}
 				accepted := time.Now()
 				for _, n := range nodes {
-					require.Len(t, n.verdictOn(t, offset).Files, 1)
+					require.Len(t, n.waitForVerdict(t, offset).Files, 1)
 				}
 				t.Logf("delay %v each way: accepted %v after publishing, in force on all 18 after %v more",
 					delay, accepted.Sub(proposed), time.Since(accepted))
@@ -79,49 +82,53 @@
 	}
 }
 
-// TestJudgeDead: the others step in.
-func TestJudgeDead(t *testing.T) {
+// TestJudgeTakesOverFromDeadInstances: changes get a verdict in time even if two of
+// three instances are down.
+func TestJudgeTakesOverFromDeadInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		n := newNode(t, log, "alive", nil)
-		n.judge("alive", "dead-1", "dead-2")
+		n.runJudge("alive", "dead-1", "dead-2")
 		for i := range 5 {
 			began := time.Now()
-			offset := n.put(t, change(fmt.Sprintf("%d.toml", i), "", 0))
-			require.Len(t, n.verdictOn(t, offset).Files, i+1)
-			require.LessOrEqual(t, time.Since(began), 3*judgeStepIn)
+			offset := n.appendRecords(t, configChange(fmt.Sprintf("%d.toml", i), "", 0))
+			require.Len(t, n.waitForVerdict(t, offset).Files, i+1)
+			require.LessOrEqual(t, time.Since(began), 3*judgeTakeoverDelay)
 		}
 	})
 }
 
-// TestDomainCutOffDuringAPublish: the failure domain that is cut off keeps what
-// was in force, catches up within seconds of its return, and never goes back.
-func TestDomainCutOffDuringAPublish(t *testing.T) {
+// TestDisconnectedDomainCatchesUpAfterPublish: an instance that can't reach the log
+// during a change keeps the earlier version in force, and has the new version in
+// force within seconds of its reconnection.
+func TestDisconnectedDomainCatchesUpAfterPublish(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
-		nodes := judged(t, log, "a", "b", "c")
-		first := nodes[0].put(t, change("x.toml", "", 0))
+		nodes := startJudges(t, log, "a", "b", "c")
+		first := nodes[0].appendRecords(t, configChange("x.toml", "", 0))
 		for _, n := range nodes {
-			n.verdictOn(t, first)
+			n.waitForVerdict(t, first)
 		}
 		cut := nodes[2]
-		cut.client.Set(logtest.Faults{Down: true})
-		second := nodes[0].put(t, change("x.toml", "# new", first))
-		nodes[0].verdictOn(t, second)
+		cut.client.SetFaults(logtest.Faults{Down: true})
+		second := nodes[0].appendRecords(t, configChange("x.toml", "# new", first))
+		nodes[0].waitForVerdict(t, second)
 		time.Sleep(time.Hour / 2)
 		require.Equal(t, first, cut.follower.View().Base("x.toml"))
-		cut.client.Set(logtest.Faults{})
+		cut.client.SetFaults(logtest.Faults{})
 		healed := time.Now()
-		require.Equal(t, second, cut.verdictOn(t, second).Base("x.toml"))
+		require.Equal(t, second, cut.waitForVerdict(t, second).Base("x.toml"))
 		require.Less(t, time.Since(healed), inForceWithin)
-		t.Logf("in force %v after the cut healed", time.Since(healed))
+		t.Logf("in force %v after reconnection", time.Since(healed))
 	})
 }
 
-// edit is one publish of a file from a base, as the history check sees it.
+// edit is the input of one operation in the history: a change to a file, based on
+// the version at the offset base.
 type edit struct{ base, offset infra.Offset }
 
-// fileModel: an edit is accepted exactly if its base is the version in force.
+// fileModel is the sequential specification of a file: an edit is accepted if and
+// only if its base is the version in force.
 var fileModel = porcupine.Model{
 	Init: func() any { return infra.Offset(0) },
 	Step: func(state, input, output any) (bool, any) {
@@ -133,8 +140,8 @@
 	},
 }
 
-// raceEdits has operators at all nodes edit one file at the same time, each from
-// the version that its own instance shows, and returns the history.
+// raceEdits runs concurrent editors of one file, spread over the nodes, and returns
+// the history. Each edit is based on the version in force at the editor's node.
 func raceEdits(t *testing.T, nodes []*node, seed uint64) []porcupine.Operation {
 	rng := rand.New(rand.NewPCG(seed, 3))
 	began := time.Now()
@@ -152,8 +159,8 @@
 				if v := n.follower.View(); v != nil {
 					base = v.Base("x.toml")
 				}
-				offset := n.put(t, change("x.toml", fmt.Sprintf("# %d", editor), base))
-				accepted := acceptedIn(t, n, offset)
+				offset := n.appendRecords(t, configChange("x.toml", fmt.Sprintf("# %d", editor), base))
+				accepted := wasAccepted(t, n, offset)
 				mu.Lock()
 				history = append(history, porcupine.Operation{
 					ClientId: editor, Input: edit{base, offset}, Output: accepted,
@@ -167,10 +174,10 @@
 	return history
 }
 
-// acceptedIn says whether the change came into force: the view right after its
-// verdict, or a later one, is based on it or on an edit of it.
-func acceptedIn(t *testing.T, n *node, offset infra.Offset) bool {
-	n.verdictOn(t, offset)
+// wasAccepted reports whether the change at the offset came into force at any point
+// of the log. It replays the log up to the present.
+func wasAccepted(t *testing.T, n *node, offset infra.Offset) bool {
+	n.waitForVerdict(t, offset)
 	m := replay.NewConfig()
 	batch, err := n.client.Read(t.Context(), infra.StreamConfig, 1, 1<<20, 0)
 	require.NoError(t, err)
@@ -186,9 +193,9 @@
 func TestRacingEditsAreLinearizable(t *testing.T) {
 	for seed := range uint64(10) {
 		synctest.Test(t, func(t *testing.T) {
-			nodes := judged(t, logtest.New(), "a", "b", "c")
+			nodes := startJudges(t, logtest.New(), "a", "b", "c")
 			for i, n := range nodes {
-				n.client.Set(logtest.Faults{Delay: time.Duration(i*40) * time.Millisecond, LoseAnswers: i})
+				n.client.SetFaults(logtest.Faults{Delay: time.Duration(i*40) * time.Millisecond, LoseAnswers: i})
 			}
 			history := raceEdits(t, nodes, seed)
 			require.True(t, porcupine.CheckOperations(fileModel, history))
@@ -199,13 +206,14 @@
 				}
 			}
 			require.Greater(t, accepted, 0)
-			require.Less(t, accepted, len(history), "no edits raced")
+			require.Less(t, accepted, len(history), "all edits were accepted: no two were concurrent")
 		})
 	}
 }
 
-// TestCheckBitesWithoutTheBase: a judge that accepts whatever its base.
-func TestCheckBitesWithoutTheBase(t *testing.T) {
+// TestLinearizabilityCheckDetectsIgnoredBase: the check of the history fails if a
+// judge accepts changes without regard to their base.
+func TestLinearizabilityCheckDetectsIgnoredBase(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		var nodes []*node
@@ -216,7 +224,7 @@
 			for ctx.Err() == nil {
 				changed := nodes[0].follower.Changed()
 				if v := nodes[0].follower.View(); v != nil && len(v.Pending) > 0 {
-					_, _ = nodes[0].writer.Append(ctx, infra.StreamConfig, accept(v.Pending[0].Offset))
+					_, _ = nodes[0].writer.Append(ctx, infra.StreamConfig, acceptVerdict(v.Pending[0].Offset))
 				}
 				awaitChange(ctx, changed, time.Second)
 			}
@@ -226,12 +234,12 @@
 	})
 }
 
-// TestMixedProgramVersions: judges that disagree leave no two readers with
-// different files in force.
-func TestMixedProgramVersions(t *testing.T) {
+// TestJudgesOfDifferentVersionsConverge: all followers have the same files in force
+// even if judges of different program versions disagree.
+func TestJudgesOfDifferentVersionsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
-		nodes := judged(t, log, "a", "b")
+		nodes := startJudges(t, log, "a", "b")
 		stern := newNode(t, log, "stern", nil)
 		stern.start(func(ctx context.Context) error {
 			for ctx.Err() == nil {
@@ -247,18 +255,18 @@
 		})
 		nodes = append(nodes, stern)
 		for i, n := range nodes {
-			n.client.Set(logtest.Faults{Delay: time.Duration(10+i*3) * time.Millisecond})
+			n.client.SetFaults(logtest.Faults{Delay: time.Duration(10+i*3) * time.Millisecond})
 		}
 		var last infra.Offset
 		for i := range 30 {
-			last = nodes[i%3].put(t, change(fmt.Sprintf("%d.toml", i), "", 0))
-			nodes[(i+1)%3].verdictOn(t, last)
+			last = nodes[i%3].appendRecords(t, configChange(fmt.Sprintf("%d.toml", i), "", 0))
+			nodes[(i+1)%3].waitForVerdict(t, last)
 		}
 		for _, n := range nodes {
-			require.Equal(t, nodes[0].verdictOn(t, last).Files, n.verdictOn(t, last).Files)
+			require.Equal(t, nodes[0].waitForVerdict(t, last).Files, n.waitForVerdict(t, last).Files)
 		}
 		verdicts, changes := 0, 0
-		for _, r := range decoded(t, log) {
+		for _, r := range decodeRecords(t, log) {
 			if r.GetConfigVerdict() != nil {
 				verdicts++
 			}
@@ -266,6 +274,6 @@
 				changes++
 			}
 		}
-		require.Greater(t, verdicts, changes, "the judges never disagreed in time")
+		require.Greater(t, verdicts, changes, "no change got two verdicts")
 	})
 }
--- a/logsync/lane.go
+++ b/logsync/lane.go
@@ -15,99 +15,107 @@
 )
 
 const (
-	// appendTimeout bounds one try: a slow log answers within it, and a lost
-	// answer is noticed soon enough to look it up before callers give up.
+	// appendTimeout limits one call to the log. A slow log answers within it, and
+	// after a lost answer there is time to search the log for the records before
+	// callers give up.
 	appendTimeout = 3 * time.Second
-	// outageAfter is how many tries in a row must surely have failed before
-	// new appends are refused at once, without one of their own, until the
-	// pause is over. Callers that may not wait then hear it early.
-	outageAfter = 3
+	// outageThreshold is the number of consecutive attempts without effect after
+	// which the log counts as down. New appends then fail at once, without an
+	// attempt, until the backoff is over, so that callers with a short deadline
+	// learn of the outage early.
+	outageThreshold = 3
 )
 
-// lane sends the appends of one stream, one at a time, so that the sequences on
-// the log ascend.
-type lane struct {
+// streamWriter appends to one stream, one batch at a time, so that the sequence
+// numbers on the log ascend.
+type streamWriter struct {
 	opts    WriterOptions
 	stream  string
-	queue   chan *request // bounded: see laneQueue
+	queue   chan *request // holds up to streamQueueSize requests
 	limiter *rate.Limiter
 	logger  logrus.FieldLogger
-	running bool // guarded by the writer
+	running bool // guarded by Writer.mu
 
-	sequence uint64        // last given to a record that may be on the log
-	after    infra.Offset  // nothing of what is being sent is before it; 0: not known yet
-	failures int           // sure failures in a row
-	pause    time.Duration // before the next try
-	retryAt  time.Time     // in an outage: when to try again
-	lastErr  error         // in an outage: what failed
+	sequence            uint64        // the last number given to a record that may be on the log
+	searchFrom          infra.Offset  // the current batch can't be before this offset; 0: not known yet
+	consecutiveFailures int           // consecutive attempts that had no effect
+	backoff             time.Duration // before the next attempt
+	retryAt             time.Time     // during an outage: time of the next attempt
+	lastErr             error         // the error of the last failed attempt
 }
 
-func newLane(opts WriterOptions, stream string) *lane {
+func newStreamWriter(opts WriterOptions, stream string) *streamWriter {
 	perSecond, burst := opts.Budget.Rate(stream)
-	return &lane{
+	return &streamWriter{
 		opts:    opts,
 		stream:  stream,
-		queue:   make(chan *request, laneQueue),
+		queue:   make(chan *request, streamQueueSize),
 		limiter: rate.NewLimiter(rate.Limit(perSecond), burst),
 		logger:  opts.Logger.WithField("stream", stream),
-		pause:   minBackoff,
+		backoff: minBackoff,
 	}
 }
 
-func (l *lane) run(ctx context.Context) error {
+// run sends queued requests until ctx ends. It returns nil.
+func (w *streamWriter) run(ctx context.Context) error {
 	for {
 		select {
-		case first := <-l.queue:
-			l.serve(ctx, first)
+		case first := <-w.queue:
+			w.sendQueued(ctx, first)
 		case <-ctx.Done():
 			return nil
 		}
 	}
 }
 
-// serve sends what waits, after the budget allows one more append.
-func (l *lane) serve(ctx context.Context, first *request) {
-	if l.failures < outageAfter || time.Now().After(l.retryAt) {
-		l.updateBudget()
-		_ = l.limiter.Wait(ctx) // fails only when ctx ends
+// sendQueued sends first and the requests queued behind it as one append, once
+// the budget allows one more.
+func (w *streamWriter) sendQueued(ctx context.Context, first *request) {
+	if w.consecutiveFailures < outageThreshold || time.Now().After(w.retryAt) {
+		w.updateBudget()
+		_ = w.limiter.Wait(ctx) // fails only when ctx ends
 	}
-	b := l.collect(ctx, first)
-	defer b.end()
+	b := w.collectBatch(ctx, first)
+	defer b.release()
 	if len(b.requests) == 0 {
 		return
 	}
-	if l.failures >= outageAfter && time.Now().Before(l.retryAt) {
-		b.answer(0, appendError(l.stream, infra.EffectNone, l.lastErr))
+	if w.consecutiveFailures >= outageThreshold && time.Now().Before(w.retryAt) {
+		b.respond(0, appendError(w.stream, infra.EffectNone, w.lastErr))
 		return
 	}
-	l.send(b)
+	w.send(b)
 }
 
-func (l *lane) updateBudget() {
-	perSecond, burst := l.opts.Budget.Rate(l.stream)
-	l.limiter.SetLimit(rate.Limit(perSecond))
-	l.limiter.SetBurst(burst)
+// updateBudget sets the limiter to the current rate and burst of the budget.
+func (w *streamWriter) updateBudget() {
+	perSecond, burst := w.opts.Budget.Rate(w.stream)
+	w.limiter.SetLimit(rate.Limit(perSecond))
+	w.limiter.SetBurst(burst)
 }
 
-// batch is what one append carries. Its context ends when every caller is gone.
+// batch is the content of one append. Its context ends when the contexts of all
+// its callers have ended.
 type batch struct {
-	ctx      context.Context
-	cancel   context.CancelFunc
-	stop     []func() bool
-	requests []*request
-	records  []*record.Record
-	first    uint64 // the first record's sequence
-	unknown  bool   // a try of it may have taken effect
+	ctx           context.Context
+	cancel        context.CancelFunc
+	stop          []func() bool // stop watching the callers' contexts
+	requests      []*request
+	records       []*record.Record
+	firstSequence uint64 // the sequence number of the first record
+	maybeAppended bool   // an earlier attempt may have taken effect
 }
 
-func (l *lane) collect(ctx context.Context, first *request) *batch {
+// collectBatch returns a batch of first and the requests that are queued, up to
+// about maxBatchRecords records.
+func (w *streamWriter) collectBatch(ctx context.Context, first *request) *batch {
 	b := &batch{}
 	b.ctx, b.cancel = context.WithCancel(ctx)
-	b.take(first)
+	b.add(first)
 	for len(b.records) < maxBatchRecords {
 		select {
-		case r := <-l.queue:
-			b.take(r)
+		case r := <-w.queue:
+			b.add(r)
 			continue
 		default:
 		}
@@ -125,23 +133,25 @@
 	return b
 }
 
-func (b *batch) take(r *request) {
-	if !r.state.CompareAndSwap(requestWaiting, requestTaken) {
+// add adds a request unless its caller has abandoned it.
+func (b *batch) add(r *request) {
+	if !r.state.CompareAndSwap(requestWaiting, requestBatched) {
 		return
 	}
 	b.requests = append(b.requests, r)
 	b.records = append(b.records, r.records...)
 }
 
-func (b *batch) end() {
+// release frees the batch's context and stops watching the callers' contexts.
+func (b *batch) release() {
 	for _, stop := range b.stop {
 		stop()
 	}
 	b.cancel()
 }
 
-// answer tells every caller where its records begin, or the error.
-func (b *batch) answer(offset infra.Offset, err error) {
+// respond sends every caller the offset of its first record, or the error.
+func (b *batch) respond(offset infra.Offset, err error) {
 	for _, r := range b.requests {
 		r.done <- result{offset: offset, err: err}
 		if err == nil {
@@ -150,38 +160,38 @@
 	}
 }
 
-// send tries until the batch is on the log, its callers are gone, or the log is
-// found to be out.
-func (l *lane) send(b *batch) {
-	data, err := l.encode(b)
+// send retries until the batch is on the log, its callers' contexts have ended,
+// or the log counts as down.
+func (w *streamWriter) send(b *batch) {
+	data, err := w.encode(b)
 	if err != nil {
-		b.answer(0, appendError(l.stream, infra.EffectNone, err))
+		b.respond(0, appendError(w.stream, infra.EffectNone, err))
 		return
 	}
 	for {
-		offset, err := l.try(b, data)
+		offset, err := w.tryAppend(b, data)
 		if err == nil {
-			l.sent(b, offset)
+			w.succeed(b, offset)
 			return
 		}
-		l.logger.WithFields(logrus.Fields{"error": err, "records": len(data), "unknown": b.unknown}).Warn("append failed")
-		l.opts.Metrics.Add("append_failures", 1)
-		if l.giveUp(b, err) {
+		w.logger.WithFields(logrus.Fields{"error": err, "records": len(data), "unknown": b.maybeAppended}).Warn("append failed")
+		w.opts.Metrics.Add("append_failures", 1)
+		if w.giveUp(b, err) {
 			return
 		}
-		sleep(b.ctx, jitter(l.pause))
-		l.pause = min(2*l.pause, maxBackoff)
+		sleep(b.ctx, jitter(w.backoff))
+		w.backoff = min(2*w.backoff, maxBackoff)
 	}
 }
 
-// encode gives the records their ids. A sequence that may be on the log is
-// never given again.
-func (l *lane) encode(b *batch) ([][]byte, error) {
-	b.first = l.sequence + 1
+// encode sets the origin and sequence numbers of the records and encodes them.
+// A sequence number that may be on the log is never used again.
+func (w *streamWriter) encode(b *batch) ([][]byte, error) {
+	b.firstSequence = w.sequence + 1
 	data := make([][]byte, len(b.records))
 	for i, r := range b.records {
-		r.Origin = l.opts.Origin
-		r.Sequence = b.first + uint64(i)
+		r.Origin = w.opts.Origin
+		r.Sequence = b.firstSequence + uint64(i)
 		r.WrittenUnixMs = time.Now().UnixMilli()
 		encoded, err := proto.Marshal(r)
 		if err != nil {
@@ -192,60 +202,61 @@
 	return data, nil
 }
 
-// try looks the batch up if an earlier try may have put it on the log, and
-// sends it otherwise.
-func (l *lane) try(b *batch, data [][]byte) (infra.Offset, error) {
-	if err := l.locate(b.ctx); err != nil {
+// tryAppend returns the offset of the batch. If an earlier attempt may have
+// taken effect, tryAppend searches the log for the batch first; it sends the
+// batch if the log doesn't have it.
+func (w *streamWriter) tryAppend(b *batch, data [][]byte) (infra.Offset, error) {
+	if err := w.findStreamEnd(b.ctx); err != nil {
 		return 0, err
 	}
-	if b.unknown {
-		offset, err := l.find(b)
+	if b.maybeAppended {
+		offset, err := w.findBatch(b)
 		if err != nil || offset > 0 {
 			return offset, err
 		}
 	}
 	ctx, cancel := context.WithTimeout(b.ctx, appendTimeout)
 	defer cancel()
-	offset, err := l.opts.Log.Append(ctx, l.stream, data)
-	if err != nil && !surelyNone(err) {
-		b.unknown = true
-		l.sequence = b.first + uint64(len(data)) - 1
+	offset, err := w.opts.Log.Append(ctx, w.stream, data)
+	if err != nil && !hasNoEffect(err) {
+		b.maybeAppended = true
+		w.sequence = b.firstSequence + uint64(len(data)) - 1
 	}
-	if err == nil && b.unknown {
-		return l.find(b) // the earlier try may have arrived before: the first place counts
+	if err == nil && b.maybeAppended {
+		return w.findBatch(b) // the earlier attempt may have taken effect first, and the first copy counts
 	}
 	return offset, err
 }
 
-// locate finds out once where the stream ends, so that a lost answer is looked
-// for from there and not in all that the log keeps.
-func (l *lane) locate(ctx context.Context) error {
-	if l.after > 0 {
+// findStreamEnd reads the end of the stream once, so that a batch whose answer
+// was lost is searched for from there and not in the whole stream.
+func (w *streamWriter) findStreamEnd(ctx context.Context) error {
+	if w.searchFrom > 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, appendTimeout)
 	defer cancel()
-	end, err := l.opts.Log.Read(ctx, l.stream, 1, 1, 0)
+	end, err := w.opts.Log.Read(ctx, w.stream, 1, 1, 0)
 	if err != nil && !isOutOfRange(err) {
-		return &infra.Error{Op: "log.read " + l.stream, Reason: infra.ReasonUnreachable, Effect: infra.EffectNone, Err: err}
+		return &infra.Error{Op: "log.read " + w.stream, Reason: infra.ReasonUnreachable, Effect: infra.EffectNone, Err: err}
 	}
-	l.after = end.Next
+	w.searchFrom = end.Next
 	return nil
 }
 
-// find reads on from where the batch can be at the earliest. Offset 0: it isn't
-// on the log as of now.
-func (l *lane) find(b *batch) (infra.Offset, error) {
-	from := l.after
+// findBatch searches the stream from the earliest possible offset of the batch
+// and returns its offset, or 0 if the batch is not on the log yet.
+func (w *streamWriter) findBatch(b *batch) (infra.Offset, error) {
+	from := w.searchFrom
 	for {
 		ctx, cancel := context.WithTimeout(b.ctx, appendTimeout)
-		read, err := l.opts.Log.Read(ctx, l.stream, from, DefaultBatch, 0)
+		read, err := w.opts.Log.Read(ctx, w.stream, from, MaxReadRecords, 0)
 		cancel()
 		if err != nil {
 			return 0, err
 		}
 		for _, r := range read.Records {
-			if l.isFirst(b, r) {
+			if w.isFirstRecord(b, r) {
 				return r.Offset, nil
 			}
 		}
@@ -256,45 +267,50 @@
 	}
 }
 
-func (l *lane) isFirst(b *batch, r infra.Record) bool {
+// isFirstRecord reports whether r is the first record of the batch.
+func (w *streamWriter) isFirstRecord(b *batch, r infra.Record) bool {
 	decoded := &record.Record{}
 	if proto.Unmarshal(r.Data, decoded) != nil {
 		return false
 	}
-	return decoded.GetOrigin() == l.opts.Origin && decoded.GetSequence() == b.first
+	return decoded.GetOrigin() == w.opts.Origin && decoded.GetSequence() == b.firstSequence
 }
 
-func (l *lane) sent(b *batch, offset infra.Offset) {
-	l.sequence = b.first + uint64(len(b.records)) - 1
-	l.after = offset + infra.Offset(len(b.records))
-	l.failures = 0
-	l.pause = minBackoff
-	l.opts.Metrics.Add("appends", 1)
-	l.opts.Metrics.Add("appended_records", int64(len(b.records)))
-	b.answer(offset, nil)
+// succeed updates the writer's state after a successful append and responds to
+// the callers.
+func (w *streamWriter) succeed(b *batch, offset infra.Offset) {
+	w.sequence = b.firstSequence + uint64(len(b.records)) - 1
+	w.searchFrom = offset + infra.Offset(len(b.records))
+	w.consecutiveFailures = 0
+	w.backoff = minBackoff
+	w.opts.Metrics.Add("appends", 1)
+	w.opts.Metrics.Add("appended_records", int64(len(b.records)))
+	b.respond(offset, nil)
 }
 
-// giveUp answers the callers with an error, if it is time to.
-func (l *lane) giveUp(b *batch, err error) bool {
+// giveUp responds to the callers with an error and returns true if the log counts
+// as down or the callers' contexts have ended.
+func (w *streamWriter) giveUp(b *batch, err error) bool {
 	effect := infra.EffectNone
-	if b.unknown {
+	if b.maybeAppended {
 		effect = infra.EffectUnknown
 	}
-	l.lastErr = err
-	if surelyNone(err) {
-		l.failures++
+	w.lastErr = err
+	if hasNoEffect(err) {
+		w.consecutiveFailures++
 	}
-	outage := !b.unknown && l.failures >= outageAfter
+	outage := !b.maybeAppended && w.consecutiveFailures >= outageThreshold
 	if !outage && b.ctx.Err() == nil {
 		return false
 	}
-	l.retryAt = time.Now().Add(jitter(l.pause))
-	l.pause = min(2*l.pause, maxBackoff)
-	b.answer(0, appendError(l.stream, effect, err))
+	w.retryAt = time.Now().Add(jitter(w.backoff))
+	w.backoff = min(2*w.backoff, maxBackoff)
+	b.respond(0, appendError(w.stream, effect, err))
 	return true
 }
 
-func surelyNone(err error) bool {
+// hasNoEffect reports whether err says that the call had no effect.
+func hasNoEffect(err error) bool {
 	var failed *infra.Error
 	return errors.As(err, &failed) && failed.Effect == infra.EffectNone
 }
--- a/logsync/logsync_test.go
+++ b/logsync/logsync_test.go
@@ -19,18 +19,19 @@
 
 func TestMain(m *testing.M) { testmain.Run(m) }
 
-func quiet() logrus.FieldLogger {
+// discardLogger returns a logger without output.
+func discardLogger() logrus.FieldLogger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
 	return l
 }
 
-// wide is a budget that never waits.
-type wide struct{}
+// unlimitedBudget is a budget under which no append waits.
+type unlimitedBudget struct{}
 
-func (wide) Rate(string) (float64, int) { return 1e9, 1 << 20 }
+func (unlimitedBudget) Rate(string) (float64, int) { return 1e9, 1 << 20 }
 
-// node is one instance's log duties on a client of its own.
+// node is the follower and writer of one instance, with their own log client.
 type node struct {
 	id       string
 	client   *logtest.Client
@@ -47,13 +48,13 @@
 		id:     id,
 		client: client,
 		ctx:    ctx,
-		writer: NewWriter(WriterOptions{Log: client, Origin: id, Budget: wide{}, Logger: quiet()}),
+		writer: NewWriter(WriterOptions{Log: client, Origin: id, Budget: unlimitedBudget{}, Logger: discardLogger()}),
 		follower: NewFollower(FollowerOptions[replay.ConfigView]{
 			Log:    client,
 			Stream: infra.StreamConfig,
-			New:    func(infra.Offset) State[replay.ConfigView] { return replay.NewConfig() },
+			New:    func(infra.Offset) ViewMachine[replay.ConfigView] { return replay.NewConfig() },
 			Peers:  peers,
-			Logger: quiet(),
+			Logger: discardLogger(),
 		}),
 	}
 	n.start(n.writer.Run)
@@ -67,38 +68,39 @@
 	go func() { _ = run(n.ctx) }()
 }
 
-func (n *node) judge(members ...string) {
+func (n *node) runJudge(members ...string) {
 	n.start(NewJudge(JudgeOptions{
 		Source: n.follower, Writer: n.writer, Self: n.id,
-		Members: func() []string { return members }, Program: "test", Logger: quiet(),
+		Members: func() []string { return members }, Program: "test", Logger: discardLogger(),
 	}).Run)
 }
 
-func (n *node) checkpoint(members ...string) {
+func (n *node) runCheckpointer(members ...string) {
 	n.start(NewCheckpointer(CheckpointerOptions{
 		Source: n.follower, Writer: n.writer, Self: n.id,
-		Members: func() []string { return members }, Logger: quiet(),
+		Members: func() []string { return members }, Logger: discardLogger(),
 	}).Run)
 }
 
-func change(file, content string, base infra.Offset) *record.Record {
+func configChange(file, content string, base infra.Offset) *record.Record {
 	return &record.Record{Body: &record.Record_ConfigChange{ConfigChange: &record.ConfigChange{
 		File: file, Partner: "kitchen", Author: "ana", Content: []byte(content), Base: uint64(base),
 	}}}
 }
 
-func accept(offset infra.Offset) *record.Record {
+func acceptVerdict(offset infra.Offset) *record.Record {
 	return &record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: &record.ConfigVerdict{Change: uint64(offset), Accepted: true}}}
 }
 
-func (n *node) put(t *testing.T, records ...*record.Record) infra.Offset {
+func (n *node) appendRecords(t *testing.T, records ...*record.Record) infra.Offset {
 	offset, err := n.writer.Append(t.Context(), infra.StreamConfig, records...)
 	require.NoError(t, err)
 	return offset
 }
 
-// await waits until the node has read the offset, with a bound in case it never does.
-func (n *node) await(t *testing.T, offset infra.Offset) {
+// waitForOffset waits until the node has applied the offset. It fails the test
+// after ten minutes.
+func (n *node) waitForOffset(t *testing.T, offset infra.Offset) {
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Minute)
 	defer cancel()
 	require.NoError(t, n.follower.WaitFor(ctx, offset))
@@ -110,7 +112,7 @@
 	return failed.Effect
 }
 
-func decoded(t *testing.T, log *logtest.Log) []*record.Record {
+func decodeRecords(t *testing.T, log *logtest.Log) []*record.Record {
 	var out []*record.Record
 	for _, r := range log.Records(infra.StreamConfig) {
 		out = append(out, mustDecode(t, r))
--- a/logsync/logtest/logtest.go
+++ b/logsync/logtest/logtest.go
@@ -1,7 +1,7 @@
-// Package logtest provides an append-only log in memory for tests, with the
-// faults of the platform's: outages, slowness, lost and late appends, lost
-// answers, and records that age out. It sleeps on the clock only to be slow, so
-// that it works inside a testing/synctest bubble.
+// Package logtest provides an append-only log in memory for tests. It simulates
+// the faults of the platform's log: outages, delays, lost and late appends, lost
+// answers, and records that age out. Its only timed waits are the simulated
+// delays and the wait of a read, so it works inside a testing/synctest bubble.
 package logtest
 
 import (
@@ -12,17 +12,18 @@
 	"greengageferry/infra"
 )
 
-// Log is the log itself. Clients reach it, each with faults of its own.
+// Log is the log. It is accessed through clients, each with its own faults.
 type Log struct {
 	mu      sync.Mutex
 	streams map[string]*stream
-	changed chan struct{} // closed at the next append
+	changed chan struct{} // closed at the next append, then replaced
 	appends int
 }
 
+// stream holds the retained records of one stream.
 type stream struct {
 	oldest  infra.Offset
-	records [][]byte // from oldest on
+	records [][]byte // the first has the offset oldest
 }
 
 // New returns an empty log.
@@ -30,7 +31,7 @@
 	return &Log{streams: map[string]*stream{}, changed: make(chan struct{})}
 }
 
-// Client returns a way to reach the log, without faults.
+// Client returns a new client of the log, without faults.
 func (l *Log) Client() *Client { return &Client{log: l} }
 
 // Appends returns how many appends have taken effect.
@@ -40,7 +41,8 @@
 	return l.appends
 }
 
-// Trim ages out every record of the stream before the offset.
+// Trim removes all records of the stream before the offset oldest, as if they had
+// aged out.
 func (l *Log) Trim(name string, oldest infra.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +51,7 @@
 	s.oldest = oldest
 }
 
-// Records returns what the stream keeps.
+// Records returns the retained records of the stream.
 func (l *Log) Records(name string) []infra.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,6 +59,8 @@
 	return s.read(s.oldest, len(s.records))
 }
 
+// stream returns the stream of that name and creates it if necessary. The caller
+// holds mu.
 func (l *Log) stream(name string) *stream {
 	if l.streams[name] == nil {
 		l.streams[name] = &stream{oldest: 1}
@@ -64,8 +68,10 @@
 	return l.streams[name]
 }
 
+// next returns the offset of the next append.
 func (s *stream) next() infra.Offset { return s.oldest + infra.Offset(len(s.records)) }
 
+// read returns at most limit records from the offset from on.
 func (s *stream) read(from infra.Offset, limit int) []infra.Record {
 	var out []infra.Record
 	for at := from; at < s.next() && len(out) < limit; at++ {
@@ -74,6 +80,7 @@
 	return out
 }
 
+// append appends the records, wakes waiting reads and returns the first offset.
 func (l *Log) append(name string, records [][]byte) infra.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,7 +93,7 @@
 	return first
 }
 
-// Client is a infra.Log with faults. The zero faults are none.
+// Client is an infra.Log with simulated faults; zero Faults simulate none.
 type Client struct {
 	log    *Log
 	mu     sync.Mutex
@@ -94,41 +101,43 @@
 	reads  int
 }
 
-// Faults are what goes wrong on the way between one client and the log.
+// Faults are the simulated faults between one client and the log.
 type Faults struct {
-	Down         bool          // no call arrives
-	Delay        time.Duration // each call takes this long each way
-	LoseAnswers  int           // the next appends take effect, and their answers are lost
-	LoseRequests int           // the next appends are lost, which their caller can't know
-	LateRequests int           // the next appends take effect only after Late, which their caller can't know
-	Late         time.Duration
+	Down         bool          // all calls fail
+	Delay        time.Duration // one-way delay of each call
+	LoseAnswers  int           // number of next appends that take effect but whose answers are lost
+	LoseRequests int           // number of next appends that are lost; the error has infra.EffectUnknown
+	LateRequests int           // number of next appends that take effect after LateBy; the error has infra.EffectUnknown
+	LateBy       time.Duration
 }
 
-// Set replaces the faults.
-func (c *Client) Set(f Faults) {
+// SetFaults replaces the faults.
+func (c *Client) SetFaults(f Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = f
 }
 
-// Reads returns how many reads have begun.
+// Reads returns the number of reads that have begun.
 func (c *Client) Reads() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.reads
 }
 
-type fate int
+// outcome is what happens to one append.
+type outcome int
 
 const (
-	arrives fate = iota
+	delivered outcome = iota
 	answerLost
 	requestLost
 	requestLate
 )
 
-// fate uses up the faults of one append.
-func (c *Client) fate() (fate, Faults) {
+// outcome returns the outcome of the next append with the faults before it, and
+// counts down the faults.
+func (c *Client) outcome() (outcome, Faults) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	before := c.faults
@@ -143,28 +152,28 @@
 		c.faults.LateRequests--
 		return requestLate, before
 	}
-	return arrives, before
+	return delivered, before
 }
 
 // Append implements infra.Log.
 func (c *Client) Append(ctx context.Context, stream string, records [][]byte) (infra.Offset, error) {
 	if c.down() {
-		return 0, failure("log.append", infra.ReasonUnreachable, infra.EffectNone)
+		return 0, newError("log.append", infra.ReasonUnreachable, infra.EffectNone)
 	}
-	fate, f := c.fate()
+	outcome, f := c.outcome()
 	if !pause(ctx, f.Delay) {
-		return 0, failure("log.append", infra.ReasonTimeout, infra.EffectUnknown)
+		return 0, newError("log.append", infra.ReasonTimeout, infra.EffectUnknown)
 	}
-	switch fate {
+	switch outcome {
 	case requestLost:
-		return 0, failure("log.append", infra.ReasonTimeout, infra.EffectUnknown)
+		return 0, newError("log.append", infra.ReasonTimeout, infra.EffectUnknown)
 	case requestLate:
-		time.AfterFunc(f.Late, func() { c.log.append(stream, records) })
-		return 0, failure("log.append", infra.ReasonTimeout, infra.EffectUnknown)
+		time.AfterFunc(f.LateBy, func() { c.log.append(stream, records) })
+		return 0, newError("log.append", infra.ReasonTimeout, infra.EffectUnknown)
 	}
 	offset := c.log.append(stream, records)
-	if fate == answerLost || !pause(ctx, f.Delay) {
-		return 0, failure("log.append", infra.ReasonTimeout, infra.EffectUnknown)
+	if outcome == answerLost || !pause(ctx, f.Delay) {
+		return 0, newError("log.append", infra.ReasonTimeout, infra.EffectUnknown)
 	}
 	return offset, nil
 }
@@ -176,41 +185,43 @@
 	delay := c.faults.Delay
 	c.mu.Unlock()
 	if c.down() || !pause(ctx, delay) {
-		return infra.Batch{}, failure("log.read", infra.ReasonUnreachable, infra.EffectNone)
+		return infra.Batch{}, newError("log.read", infra.ReasonUnreachable, infra.EffectNone)
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		batch, changed, err := c.look(stream, from, limit)
+		batch, changed, err := c.readNow(stream, from, limit)
 		if err != nil || len(batch.Records) > 0 || wait <= 0 {
-			return c.back(ctx, batch, err, delay)
+			return c.reply(ctx, batch, err, delay)
 		}
 		select {
 		case <-changed:
 		case <-timer.C:
-			return c.back(ctx, batch, nil, delay)
+			return c.reply(ctx, batch, nil, delay)
 		case <-ctx.Done():
-			return batch, failure("log.read", infra.ReasonTimeout, infra.EffectNone)
+			return batch, newError("log.read", infra.ReasonTimeout, infra.EffectNone)
 		}
 	}
 }
 
-func (c *Client) look(stream string, from infra.Offset, limit int) (infra.Batch, <-chan struct{}, error) {
+// readNow reads without waiting. It also returns the channel that is closed at the
+// next append.
+func (c *Client) readNow(stream string, from infra.Offset, limit int) (infra.Batch, <-chan struct{}, error) {
 	c.log.mu.Lock()
 	defer c.log.mu.Unlock()
 	s := c.log.stream(stream)
 	batch := infra.Batch{Oldest: s.oldest, Next: s.next()}
 	if from < s.oldest {
-		return batch, nil, failure("log.read", infra.ReasonOutOfRange, infra.EffectNone)
+		return batch, nil, newError("log.read", infra.ReasonOutOfRange, infra.EffectNone)
 	}
 	batch.Records = s.read(from, limit)
 	return batch, c.log.changed, nil
 }
 
-// back is the answer's way; an outage meanwhile loses it.
-func (c *Client) back(ctx context.Context, batch infra.Batch, err error, delay time.Duration) (infra.Batch, error) {
+// reply delays the answer. The answer is lost if the log is down after the delay.
+func (c *Client) reply(ctx context.Context, batch infra.Batch, err error, delay time.Duration) (infra.Batch, error) {
 	if !pause(ctx, delay) || c.down() {
-		return infra.Batch{}, failure("log.read", infra.ReasonUnreachable, infra.EffectNone)
+		return infra.Batch{}, newError("log.read", infra.ReasonUnreachable, infra.EffectNone)
 	}
 	return batch, err
 }
@@ -221,10 +232,11 @@
 	return c.faults.Down
 }
 
-func failure(op string, reason infra.Reason, effect infra.Effect) error {
+func newError(op string, reason infra.Reason, effect infra.Effect) error {
 	return &infra.Error{Op: op, Addr: "logtest", Reason: reason, Effect: effect}
 }
 
+// pause waits for d and reports whether ctx is still active.
 func pause(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/logsync/start.go
+++ b/logsync/start.go
@@ -11,58 +11,59 @@
 	"greengageferry/replay"
 )
 
-// start finds where to begin: at the stream's first record, or at a checkpoint
-// after which nothing is missing.
+// start begins to follow the stream: at its first record, or, if that record
+// has aged out, at a checkpoint after which no record is missing.
 func (f *Follower[V]) start(ctx context.Context) error {
 	batch, err := f.read(ctx, 1, 0)
 	switch {
 	case isOutOfRange(err):
-		return f.bridge(ctx, batch)
+		return f.restoreAgedOut(ctx, batch)
 	case err != nil:
 		return err
 	}
 	f.mu.Lock()
 	f.machine = f.opts.New(1)
 	f.mu.Unlock()
-	f.opts.Logger.WithField("from", 1).Info("stream followed from its first record")
+	f.opts.Logger.WithField("from", 1).Info("following stream from its first record")
 	return f.apply(batch)
 }
 
-// bridge gets over records that aged out before they were read: a checkpoint
-// on the log that covers them, or else a peer's state.
-func (f *Follower[V]) bridge(ctx context.Context, bounds infra.Batch) error {
+// restoreAgedOut restores a state that covers the records that aged out before
+// they were read: a checkpoint on the log, or else the state of a peer.
+func (f *Follower[V]) restoreAgedOut(ctx context.Context, bounds infra.Batch) error {
 	if f.opts.FromOldest {
-		return f.skip(bounds.Oldest)
+		return f.startAtOldest(bounds.Oldest)
 	}
 	checkpoint, err := f.findCheckpoint(ctx, bounds.Oldest)
 	if err != nil {
 		return err
 	}
 	if checkpoint == nil {
-		return f.fromPeers(ctx, bounds.Oldest-1)
+		return f.restoreFromPeers(ctx, bounds.Oldest-1)
 	}
 	if err := f.restore(checkpoint, false); err != nil {
 		return err
 	}
 	f.opts.Logger.WithFields(logrus.Fields{"covers": checkpoint.GetCovers(), "oldest": bounds.Oldest}).
-		Info("stream followed from a checkpoint")
+		Info("following stream from a checkpoint")
 	return nil
 }
 
-// skip begins with a new machine at the oldest kept record.
-func (f *Follower[V]) skip(oldest infra.Offset) error {
+// startAtOldest begins with an empty state machine at the oldest record that the
+// log still has.
+func (f *Follower[V]) startAtOldest(oldest infra.Offset) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.machine = f.opts.New(oldest)
-	f.skipped = oldest - 1
-	f.status.Offset = f.skipped
+	f.skippedThrough = oldest - 1
+	f.status.Offset = f.skippedThrough
 	f.status.CaughtUp = false
-	f.opts.Logger.WithField("from", oldest).Info("stream followed from its oldest kept record")
+	f.opts.Logger.WithField("from", oldest).Info("following stream from its oldest retained record")
 	return nil
 }
 
-// findCheckpoint reads what the log keeps and returns its newest checkpoint, or
-// nil if none covers everything that aged out.
+// findCheckpoint reads all records that the log still has and returns the newest
+// checkpoint that covers everything before them, or nil if there is none.
 func (f *Follower[V]) findCheckpoint(ctx context.Context, oldest infra.Offset) (*record.Checkpoint, error) {
 	var newest *record.Checkpoint
 	from := oldest
@@ -72,8 +73,8 @@
 			return nil, err
 		}
 		for _, r := range batch.Records {
-			c := checkpointIn(r)
-			if bridges(c, oldest) && c.GetCovers() >= newest.GetCovers() {
+			c := decodeCheckpoint(r)
+			if coversAgedOut(c, oldest) && c.GetCovers() >= newest.GetCovers() {
 				newest = c
 			}
 		}
@@ -84,13 +85,16 @@
 	}
 }
 
-// bridges says whether a reader that begins with the checkpoint misses nothing.
-func bridges(c *record.Checkpoint, oldest infra.Offset) bool {
+// coversAgedOut reports whether the checkpoint is readable and covers all records
+// before oldest.
+func coversAgedOut(c *record.Checkpoint, oldest infra.Offset) bool {
 	readable := c != nil && c.GetVersion() <= replay.CheckpointVersion
 	return readable && infra.Offset(c.GetCovers())+1 >= oldest
 }
 
-func checkpointIn(r infra.Record) *record.Checkpoint {
+// decodeCheckpoint returns the checkpoint in the record, or nil if the record is
+// of another kind or can't be decoded.
+func decodeCheckpoint(r infra.Record) *record.Checkpoint {
 	decoded := &record.Record{}
 	if proto.Unmarshal(r.Data, decoded) != nil {
 		return nil
@@ -98,13 +102,13 @@
 	return decoded.GetCheckpoint()
 }
 
-// fromPeers takes over the newest state that a peer has, if it covers at least
-// the offset and isn't older than what is known here.
-func (f *Follower[V]) fromPeers(ctx context.Context, atLeast infra.Offset) error {
+// restoreFromPeers restores the newest state among the peers' that covers at
+// least atLeast and is not older than the state of this follower.
+func (f *Follower[V]) restoreFromPeers(ctx context.Context, atLeast infra.Offset) error {
 	if f.opts.Peers == nil {
 		return &NoStateError{Stream: f.opts.Stream, AtLeast: atLeast}
 	}
-	ctx, cancel := context.WithTimeout(ctx, readSlack)
+	ctx, cancel := context.WithTimeout(ctx, readTimeoutMargin)
 	defer cancel()
 	checkpoint, err := f.opts.Peers.State(ctx, f.opts.Stream, max(atLeast, f.Status().Offset))
 	if err != nil {
@@ -113,11 +117,12 @@
 	if err := f.restore(checkpoint, true); err != nil {
 		return err
 	}
-	f.opts.Logger.WithField("covers", checkpoint.GetCovers()).Info("stream followed from a peer's state")
+	f.opts.Logger.WithField("covers", checkpoint.GetCovers()).Info("following stream from the state of a peer")
 	return nil
 }
 
-// restore replaces the machine's state; the machine refuses to go back.
+// restore replaces the state by the checkpoint. The state machine refuses a
+// checkpoint that is older than its state.
 func (f *Follower[V]) restore(c *record.Checkpoint, peer bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,6 +136,6 @@
 	f.machine = machine
 	f.status.FromPeer = peer
 	f.status.CaughtUp = false
-	f.show()
+	f.publishView()
 	return nil
 }
--- a/logsync/writer.go
+++ b/logsync/writer.go
@@ -16,36 +16,37 @@
 )
 
 const (
-	// laneQueue bounds the appends that wait for one stream. Full: the caller
-	// waits until its context ends, and then nothing was sent.
-	laneQueue = 256
-	// maxBatchRecords bounds the records of one append, so that it stays in the
-	// range of a megabyte.
+	// streamQueueSize is the number of appends that can wait for one stream.
+	// When the queue is full, Append blocks; if its context ends meanwhile,
+	// nothing is sent.
+	streamQueueSize = 256
+	// maxBatchRecords limits the records of one append to about a megabyte.
 	maxBatchRecords = 512
-	// leaveGrace is how long a caller whose context has ended still waits to
-	// hear whether its append was sent.
-	leaveGrace = 250 * time.Millisecond
+	// abandonGrace is how long a caller whose context has ended waits for the
+	// result of an append that is already being sent.
+	abandonGrace = 250 * time.Millisecond
 )
 
 // WriterOptions configures a Writer. Log, Origin and Budget are required.
 type WriterOptions struct {
 	Log     infra.Log
-	Origin  string // unique to this boot of this instance
+	Origin  string // unique to this run of this instance
 	Budget  Budget
 	Logger  logrus.FieldLogger
 	Metrics *expvar.Map
 }
 
-// Writer is a duty that puts records on the log. Appends to one stream go out
-// one after another, those that wait together in one append.
+// Writer is a background task that appends records to the log. It sends the
+// appends to one stream one after another and combines those that are waiting
+// into one.
 type Writer struct {
-	opts  WriterOptions
-	mu    sync.Mutex // guards lanes
-	lanes map[string]*lane
-	added chan struct{} // of one: there is a lane to start
+	opts        WriterOptions
+	mu          sync.Mutex // guards streams and the running field of its values
+	streams     map[string]*streamWriter
+	streamAdded chan struct{} // capacity 1; signals a stream writer to start
 }
 
-// NewWriter returns a writer; Append waits until Run runs.
+// NewWriter returns a writer. Append blocks until Run is running.
 func NewWriter(opts WriterOptions) *Writer {
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
@@ -53,72 +54,75 @@
 	if opts.Metrics == nil {
 		opts.Metrics = new(expvar.Map)
 	}
-	return &Writer{opts: opts, lanes: map[string]*lane{}, added: make(chan struct{}, 1)}
+	return &Writer{opts: opts, streams: map[string]*streamWriter{}, streamAdded: make(chan struct{}, 1)}
 }
 
-// Run sends until ctx ends. It returns nil.
+// Run sends appends until ctx ends. It returns nil.
 func (w *Writer) Run(ctx context.Context) error {
 	var group errgroup.Group
-	defer w.stopped()
+	defer w.markStopped()
 	for {
-		for _, l := range w.startable() {
-			group.Go(func() error { return l.run(ctx) })
+		for _, sw := range w.takeUnstarted() {
+			group.Go(func() error { return sw.run(ctx) })
 		}
 		select {
-		case <-w.added:
+		case <-w.streamAdded:
 		case <-ctx.Done():
 			return group.Wait()
 		}
 	}
 }
 
-// startable returns the lanes that don't run yet and marks them as running.
-func (w *Writer) startable() []*lane {
+// takeUnstarted returns the stream writers that are not running and marks them
+// as running.
+func (w *Writer) takeUnstarted() []*streamWriter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	var out []*lane
-	for _, l := range w.lanes {
-		if !l.running {
-			l.running = true
-			out = append(out, l)
+	var out []*streamWriter
+	for _, sw := range w.streams {
+		if !sw.running {
+			sw.running = true
+			out = append(out, sw)
 		}
 	}
 	return out
 }
 
-func (w *Writer) stopped() {
+// markStopped marks all stream writers as not running.
+func (w *Writer) markStopped() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, l := range w.lanes {
-		l.running = false
+	for _, sw := range w.streams {
+		sw.running = false
 	}
 }
 
-// request is one call of Append.
+// request is one call to Append.
 type request struct {
 	ctx     context.Context
 	records []*record.Record
 	state   atomic.Int32
-	done    chan result // of one
+	done    chan result // capacity 1
 }
 
 // The states of a request.
 const (
-	requestWaiting int32 = iota // nothing of it was sent
-	requestTaken                // it is in a batch
-	requestLeft                 // its caller went before it was taken
+	requestWaiting   int32 = iota // queued, nothing sent
+	requestBatched                // part of a batch
+	requestAbandoned              // the caller's context ended before the request joined a batch
 )
 
+// result is the outcome of a request.
 type result struct {
 	offset infra.Offset
 	err    error
 }
 
-// Append implements Appender. Its error is a *infra.Error.
+// Append implements Appender. Its errors are of type *infra.Error.
 func (w *Writer) Append(ctx context.Context, stream string, records ...*record.Record) (infra.Offset, error) {
 	r := &request{ctx: ctx, records: records, done: make(chan result, 1)}
 	select {
-	case w.lane(stream).queue <- r:
+	case w.streamWriter(stream).queue <- r:
 	case <-ctx.Done():
 		return 0, appendError(stream, infra.EffectNone, ctx.Err())
 	}
@@ -126,16 +130,17 @@
 	case res := <-r.done:
 		return res.offset, res.err
 	case <-ctx.Done():
-		return r.leave(stream)
+		return r.abandon(stream)
 	}
 }
 
-// leave ends a request whose caller's context has ended.
-func (r *request) leave(stream string) (infra.Offset, error) {
-	if r.state.CompareAndSwap(requestWaiting, requestLeft) {
+// abandon returns the result of a request whose caller's context has ended. The
+// request is withdrawn if it is still queued.
+func (r *request) abandon(stream string) (infra.Offset, error) {
+	if r.state.CompareAndSwap(requestWaiting, requestAbandoned) {
 		return 0, appendError(stream, infra.EffectNone, r.ctx.Err())
 	}
-	timer := time.NewTimer(leaveGrace)
+	timer := time.NewTimer(abandonGrace)
 	defer timer.Stop()
 	select {
 	case res := <-r.done:
@@ -145,26 +150,28 @@
 	}
 }
 
-// lane returns the stream's lane. The streams that one instance writes are few:
-// its failure domain's, the shards' and the two common ones.
-func (w *Writer) lane(stream string) *lane {
+// streamWriter returns the writer of the stream and creates it if necessary. An
+// instance writes to few streams: the one of its failure domain, those of the
+// shards, and the two that all instances share.
+func (w *Writer) streamWriter(stream string) *streamWriter {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	l := w.lanes[stream]
-	if l != nil {
-		return l
+	sw := w.streams[stream]
+	if sw != nil {
+		return sw
 	}
-	l = newLane(w.opts, stream)
-	w.lanes[stream] = l
+	sw = newStreamWriter(w.opts, stream)
+	w.streams[stream] = sw
 	select {
-	case w.added <- struct{}{}:
-	default: // Run is to look already
+	case w.streamAdded <- struct{}{}:
+	default: // Run is already signaled
 	}
-	return l
+	return sw
 }
 
-// appendError words a failed append. A cause that says itself why it failed is
-// believed on that, but not on its effect: earlier tries count too.
+// appendError returns the error of a failed append. It takes the reason from the
+// cause if possible, but not the effect, because earlier attempts may have had
+// another.
 func appendError(stream string, effect infra.Effect, cause error) error {
 	reason := infra.ReasonUnreachable
 	var failed *infra.Error
--- a/peer/client.go
+++ b/peer/client.go
@@ -17,7 +17,7 @@
 
 // CallTime bounds a call whose context has a later deadline or none: a peer
 // answers from memory, but for claims, which wait for the log.
-const CallTime = 3 * time.Second
+const CallTimeout = 3 * time.Second
 
 // Client calls other entry instances by their peers' addresses.
 type Client struct {
@@ -32,38 +32,38 @@
 }
 
 // at returns the peer at an address.
-func (c *Client) at(addr string) Peer {
+func (c *Client) peerAt(addr string) Peer {
 	return NewPeerProtobufClient("http://"+addr, c.http)
 }
 
 // begin bounds a call and has it show the token.
-func (c *Client) begin(ctx context.Context) (context.Context, context.CancelFunc, error) {
+func (c *Client) callContext(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	ctx, err := twirp.WithHTTPRequestHeaders(ctx, http.Header{TokenHeader: {c.token}})
 	if err != nil {
 		return nil, nil, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, CallTime)
+	ctx, cancel := context.WithTimeout(ctx, CallTimeout)
 	return ctx, cancel, nil
 }
 
 // call makes one call to the peer at an address.
 func call[T any](ctx context.Context, c *Client, op, addr string, do func(context.Context, Peer) (T, error)) (T, error) {
 	var none T
-	ctx, cancel, err := c.begin(ctx)
+	ctx, cancel, err := c.callContext(ctx)
 	if err != nil {
 		return none, &infra.Error{Op: op, Addr: addr, Reason: infra.ReasonBadRequest, Effect: infra.EffectNone, Err: err}
 	}
 	defer cancel()
-	got, err := do(ctx, c.at(addr))
+	got, err := do(ctx, c.peerAt(addr))
 	if err != nil {
-		return none, callFailed(ctx, op, addr, err)
+		return none, toInfraError(ctx, op, addr, err)
 	}
 	return got, nil
 }
 
 // callFailed turns a twirp error into a infra.Error. A call that was refused
 // before it started, or found nothing, had no effect.
-func callFailed(ctx context.Context, op, addr string, err error) error {
+func toInfraError(ctx context.Context, op, addr string, err error) error {
 	failed := &infra.Error{Op: op, Addr: addr, Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown, Err: err}
 	var refused twirp.Error
 	switch {
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -23,14 +23,14 @@
 const token = "a token of the peers"
 
 // claimer answers with what the test sets.
-type claimer struct{ err error }
+type fakeClaimServer struct{ err error }
 
-func (c claimer) Claim(_ context.Context, shard uint32, claims [][]byte) ([]*ClaimStanding, error) {
+func (c fakeClaimServer) Claim(_ context.Context, shard uint32, claims [][]byte) ([]*ClaimStanding, error) {
 	return []*ClaimStanding{{Verdict: ClaimStanding_GRANTED, Attempt: string(claims[shard])}}, c.err
 }
 
-func backend(covers uint64, claimErr error) Backend {
-	return Backend{
+func testOptions(covers uint64, claimErr error) HandlerOptions {
+	return HandlerOptions{
 		Instance:      "entry-1",
 		FailureDomain: "porto-a",
 		State: func(stream string) *record.Checkpoint {
@@ -40,7 +40,7 @@
 			return &record.Checkpoint{Covers: covers}
 		},
 		Applied: func() infra.Offset { return 7 },
-		Claims:  claimer{err: claimErr},
+		Claims:  fakeClaimServer{err: claimErr},
 		Answer: func(attempt string) (Answer, bool, bool) {
 			return Answer{Request: "r", Status: 200, ContentType: "text/plain", Body: []byte("body"), FailureDomain: "porto-a", Server: "s"}, true, attempt == "known"
 		},
@@ -55,19 +55,19 @@
 }
 
 // serve returns the address of a peer.
-func serve(t *testing.T, b Backend) string {
+func startPeer(t *testing.T, b HandlerOptions) string {
 	server := httptest.NewServer(Handler(b, token, traffic.NewCounters(new(expvar.Map))))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func client(shown string) *Client {
+func newTestClient(shown string) *Client {
 	return NewClient(&http.Transport{DisableKeepAlives: true}, shown, traffic.NewCounters(new(expvar.Map)))
 }
 
-func TestEachCallBringsItsAnswer(t *testing.T) {
-	addr := serve(t, backend(12, nil))
-	c := client(token)
+func TestCallsReturnThePeersAnswers(t *testing.T) {
+	addr := startPeer(t, testOptions(12, nil))
+	c := newTestClient(token)
 	at := infra.Instance{Addr: addr, FailureDomain: "porto-a"}
 
 	offset, err := c.Applied(t.Context(), at)
@@ -96,7 +96,7 @@
 	require.EqualValues(t, 12, state.GetCovers())
 }
 
-func TestEffectOfAFailedCallIsHonest(t *testing.T) {
+func TestFailedCallReportsItsEffect(t *testing.T) {
 	closed := httptest.NewServer(nil)
 	closed.Close()
 	none := &infra.Error{Op: "log.append", Reason: infra.ReasonUnavailable, Effect: infra.EffectNone}
@@ -105,14 +105,14 @@
 		addr, token string
 		want        infra.Effect
 	}{
-		"wrong token":     {serve(t, backend(1, nil)), "another token of somebody", infra.EffectNone},
-		"log refused":     {serve(t, backend(1, none)), token, infra.EffectNone},
-		"log's answer":    {serve(t, backend(1, unknown)), token, infra.EffectUnknown},
+		"wrong token":     {startPeer(t, testOptions(1, nil)), "another token of somebody", infra.EffectNone},
+		"log refused":     {startPeer(t, testOptions(1, none)), token, infra.EffectNone},
+		"log's answer":    {startPeer(t, testOptions(1, unknown)), token, infra.EffectUnknown},
 		"nobody is there": {strings.TrimPrefix(closed.URL, "http://"), token, infra.EffectUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := client(c.token).Claim(t.Context(), c.addr, 0, [][]byte{[]byte("a")})
+			_, err := newTestClient(c.token).Claim(t.Context(), c.addr, 0, [][]byte{[]byte("a")})
 			var failed *infra.Error
 			require.True(t, errors.As(err, &failed), "got %v", err)
 			require.Equal(t, c.want, failed.Effect)
@@ -120,9 +120,9 @@
 	}
 }
 
-func TestNewestStateOfSeveralPeersWins(t *testing.T) {
-	addrs := []string{serve(t, backend(3, nil)), serve(t, backend(9, nil)), serve(t, backend(5, nil))}
-	states := NewStates(client(token), func() []string { return append([]string(nil), addrs...) })
+func TestNewestPeerStateIsUsed(t *testing.T) {
+	addrs := []string{startPeer(t, testOptions(3, nil)), startPeer(t, testOptions(9, nil)), startPeer(t, testOptions(5, nil))}
+	states := NewStateFetcher(newTestClient(token), func() []string { return append([]string(nil), addrs...) })
 	got, err := states.State(t.Context(), infra.StreamConfig, 4)
 	require.NoError(t, err)
 	require.EqualValues(t, 9, got.GetCovers())
@@ -134,7 +134,7 @@
 }
 
 func TestOversizedRequestIsRefused(t *testing.T) {
-	addr := serve(t, backend(1, nil))
-	_, err := client(token).Claim(t.Context(), addr, 0, [][]byte{make([]byte, maxRequestBytes+1)})
+	addr := startPeer(t, testOptions(1, nil))
+	_, err := newTestClient(token).Claim(t.Context(), addr, 0, [][]byte{make([]byte, maxRequestBytes+1)})
 	require.Error(t, err)
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -39,7 +39,7 @@
 }
 
 // Backend is what an instance lets its peers ask.
-type Backend struct {
+type HandlerOptions struct {
 	Instance string
 	// State returns the replayed state of a stream, or nil for one that this
 	// instance doesn't know.
@@ -59,7 +59,7 @@
 }
 
 // Handler serves the peers' address: twirp behind the token.
-func Handler(b Backend, token string, counters *traffic.Counters) http.Handler {
+func Handler(b HandlerOptions, token string, counters *traffic.Counters) http.Handler {
 	return requireToken(token, traffic.Handler(limitBody(NewPeerServer(&service{b})), counters))
 }
 
@@ -85,11 +85,11 @@
 }
 
 // service implements Peer.
-type service struct{ Backend }
+type service struct{ HandlerOptions }
 
 // State implements Peer.
 func (s *service) State(_ context.Context, r *StateRequest) (*StateResponse, error) {
-	checkpoint := s.Backend.State(r.GetStream())
+	checkpoint := s.HandlerOptions.State(r.GetStream())
 	if checkpoint == nil || checkpoint.GetCovers() < r.GetAtLeast() {
 		return nil, twirp.NotFoundError("no such state here")
 	}
@@ -105,7 +105,7 @@
 	if r.GetFailureDomain() != s.FailureDomain {
 		return nil, twirp.InvalidArgumentError("failure_domain", "not this instance's")
 	}
-	return &AppliedResponse{Instance: s.Instance, Offset: uint64(s.Backend.Applied())}, nil
+	return &AppliedResponse{Instance: s.Instance, Offset: uint64(s.HandlerOptions.Applied())}, nil
 }
 
 // Claim implements Peer.
@@ -128,7 +128,7 @@
 
 // Answer implements Peer.
 func (s *service) Answer(_ context.Context, r *AnswerRequest) (*AnswerResponse, error) {
-	answer, finished, found := s.Backend.Answer(r.GetAttempt())
+	answer, finished, found := s.HandlerOptions.Answer(r.GetAttempt())
 	return &AnswerResponse{
 		Found:         found,
 		Finished:      finished,
@@ -166,6 +166,6 @@
 
 // Missing implements Peer.
 func (s *service) Missing(_ context.Context, r *MissingRequest) (*MissingResponse, error) {
-	s.Backend.Missing(r.GetServer())
+	s.HandlerOptions.Missing(r.GetServer())
 	return &MissingResponse{}, nil
 }
--- a/peer/states.go
+++ b/peer/states.go
@@ -15,19 +15,19 @@
 // AskedForState is how many peers a newcomer asks for their state: enough that
 // one of them is not behind, few enough that a failure domain of 41 instances
 // which starts together doesn't send each state 1,600 times.
-const AskedForState = 3
+const MaxStatePeers = 3
 
 // States asks several peers for a stream's state and takes the newest. It
 // implements logsync.StateSource.
-type States struct {
+type StateFetcher struct {
 	client *Client
 	// addrs returns the addresses of the peers to choose from.
 	addrs func() []string
 }
 
 // NewStates returns a source over the peers that addrs names at the time.
-func NewStates(client *Client, addrs func() []string) *States {
-	return &States{client: client, addrs: addrs}
+func NewStateFetcher(client *Client, addrs func() []string) *StateFetcher {
+	return &StateFetcher{client: client, addrs: addrs}
 }
 
 // NoPeerError says that no peer gave a state.
@@ -46,10 +46,10 @@
 func (e *NoPeerError) Unwrap() error { return e.Err }
 
 // State implements logsync.StateSource. The error is a *NoPeerError.
-func (s *States) State(ctx context.Context, stream string, atLeast infra.Offset) (*record.Checkpoint, error) {
+func (s *StateFetcher) State(ctx context.Context, stream string, atLeast infra.Offset) (*record.Checkpoint, error) {
 	addrs := s.addrs()
 	rand.Shuffle(len(addrs), func(a, b int) { addrs[a], addrs[b] = addrs[b], addrs[a] })
-	addrs = addrs[:min(len(addrs), AskedForState)]
+	addrs = addrs[:min(len(addrs), MaxStatePeers)]
 	var mu sync.Mutex
 	var newest *record.Checkpoint
 	failure := &NoPeerError{Stream: stream, Asked: len(addrs)}
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -99,11 +99,11 @@
 			Log: opts.Log, Origin: "publish/" + uuid.NewString(), Budget: budget{}, Logger: opts.Logger,
 		}),
 		follower: logsync.NewFollower(logsync.FollowerOptions[replay.ConfigView]{
-			Log:     opts.Log,
-			Stream:  infra.StreamConfig,
-			New:     func(infra.Offset) logsync.State[replay.ConfigView] { return seen },
-			Spacing: -1,
-			Logger:  opts.Logger,
+			Log:          opts.Log,
+			Stream:       infra.StreamConfig,
+			New:          func(infra.Offset) logsync.ViewMachine[replay.ConfigView] { return seen },
+			ReadInterval: -1,
+			Logger:       opts.Logger,
 		}),
 	}
 }
--- a/publish/publish_test.go
+++ b/publish/publish_test.go
@@ -33,7 +33,7 @@
 	writer := logsync.NewWriter(logsync.WriterOptions{Log: client, Origin: "judge", Budget: budget{}, Logger: quiet()})
 	follower := logsync.NewFollower(logsync.FollowerOptions[replay.ConfigView]{
 		Log: client, Stream: infra.StreamConfig, Logger: quiet(),
-		New: func(infra.Offset) logsync.State[replay.ConfigView] { return replay.NewConfig() },
+		New: func(infra.Offset) logsync.ViewMachine[replay.ConfigView] { return replay.NewConfig() },
 	})
 	j := logsync.NewJudge(logsync.JudgeOptions{
 		Source: follower, Writer: writer, Self: "judge", Logger: quiet(),
@@ -114,7 +114,7 @@
 		log := logtest.New()
 		judge(t, log)
 		client := log.Client()
-		client.Set(logtest.Faults{LoseAnswers: 2})
+		client.SetFaults(logtest.Faults{LoseAnswers: 2})
 		write(t, dir, "10.toml", "")
 		require.True(t, once(t, client, dir)[0].Accepted)
 		require.Len(t, log.Records(infra.StreamConfig), 2)
@@ -125,7 +125,7 @@
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
 		client := logtest.New().Client()
-		client.Set(logtest.Faults{Down: true})
+		client.SetFaults(logtest.Faults{Down: true})
 		write(t, dir, "10.toml", "")
 		_, err := publisher(client, dir, "ana").Once(t.Context())
 		var failed *LogError
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -10,7 +10,7 @@
 	leader := ""
 	best := uint64(0)
 	for _, m := range members {
-		if s := score(key, m); leader == "" || before(s, m, best, leader) {
+		if s := score(key, m); leader == "" || ranksBefore(s, m, best, leader) {
 			leader, best = m, s
 		}
 	}
@@ -23,7 +23,7 @@
 	own := score(key, self)
 	rank := 0
 	for _, m := range members {
-		if m != self && before(score(key, m), m, own, self) {
+		if m != self && ranksBefore(score(key, m), m, own, self) {
 			rank++
 		}
 	}
@@ -31,7 +31,7 @@
 }
 
 // before orders by score, then by name so that no two members tie.
-func before(s uint64, m string, t uint64, n string) bool {
+func ranksBefore(s uint64, m string, t uint64, n string) bool {
 	return s > t || s == t && m < n
 }
 
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRanksArePermutationAndLeaderIsFirst(t *testing.T) {
+func TestRanksAreAPermutationLedByTheLeader(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	for k := range 50 {
 		key := fmt.Sprint(k)
@@ -24,7 +24,7 @@
 	require.Empty(t, Leader("x", nil))
 }
 
-func TestAMemberThatLeavesMovesOnlyItsOwn(t *testing.T) {
+func TestRemovedMemberMovesOnlyItsKeys(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	led := map[string]int{}
 	for k := range 1000 {
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -21,13 +21,13 @@
 func NewCounters(vars *expvar.Map) *Counters { return &Counters{vars: vars} }
 
 // Sent counts one message that left.
-func (c *Counters) Sent(call string, bytes int64) {
+func (c *Counters) CountSent(call string, bytes int64) {
 	c.vars.Add(call+".sent_bytes", bytes)
 	c.vars.Add(call+".sent_messages", 1)
 }
 
 // Received counts one message that came.
-func (c *Counters) Received(call string, bytes int64) {
+func (c *Counters) CountReceived(call string, bytes int64) {
 	c.vars.Add(call+".received_bytes", bytes)
 	c.vars.Add(call+".received_messages", 1)
 }
@@ -37,25 +37,25 @@
 type Transport struct {
 	Base     http.RoundTripper // nil: http.DefaultTransport
 	Counters *Counters
-	Call     func(*http.Request) string
+	CallName func(*http.Request) string
 }
 
 // RoundTrip implements http.RoundTripper.
 func (t *Transport) RoundTrip(req *http.Request) (*http.Response, error) {
 	call := path.Base(req.URL.Path)
-	if t.Call != nil {
-		call = t.Call(req)
+	if t.CallName != nil {
+		call = t.CallName(req)
 	}
 	base := t.Base
 	if base == nil {
 		base = http.DefaultTransport
 	}
-	t.Counters.Sent(call, max(req.ContentLength, 0))
+	t.Counters.CountSent(call, max(req.ContentLength, 0))
 	resp, err := base.RoundTrip(req)
 	if err != nil {
 		return nil, err
 	}
-	resp.Body = &countedBody{ReadCloser: resp.Body, done: func(n int64) { t.Counters.Received(call, n) }}
+	resp.Body = &countingBody{ReadCloser: resp.Body, onClose: func(n int64) { t.Counters.CountReceived(call, n) }}
 	return resp, nil
 }
 
@@ -63,41 +63,41 @@
 func Handler(next http.Handler, c *Counters) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := path.Base(r.URL.Path)
-		r.Body = &countedBody{ReadCloser: r.Body, done: func(n int64) { c.Received(call, n) }}
-		counted := &countedWriter{ResponseWriter: w}
+		r.Body = &countingBody{ReadCloser: r.Body, onClose: func(n int64) { c.CountReceived(call, n) }}
+		counted := &countingWriter{ResponseWriter: w}
 		next.ServeHTTP(counted, r)
 		_ = r.Body.Close()
-		c.Sent(call, counted.bytes)
+		c.CountSent(call, counted.bytes)
 	})
 }
 
 // countedBody reports its length once, when it is closed.
-type countedBody struct {
+type countingBody struct {
 	io.ReadCloser
-	bytes int64
-	done  func(int64)
+	bytes   int64
+	onClose func(int64)
 }
 
-func (b *countedBody) Read(p []byte) (int, error) {
+func (b *countingBody) Read(p []byte) (int, error) {
 	n, err := b.ReadCloser.Read(p)
 	b.bytes += int64(n)
 	return n, err
 }
 
-func (b *countedBody) Close() error {
-	if b.done != nil {
-		b.done(b.bytes)
-		b.done = nil
+func (b *countingBody) Close() error {
+	if b.onClose != nil {
+		b.onClose(b.bytes)
+		b.onClose = nil
 	}
 	return b.ReadCloser.Close()
 }
 
-type countedWriter struct {
+type countingWriter struct {
 	http.ResponseWriter
 	bytes int64
 }
 
-func (w *countedWriter) Write(p []byte) (int, error) {
+func (w *countingWriter) Write(p []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(p)
 	w.bytes += int64(n)
 	return n, err
--- a/traffic/traffic_test.go
+++ b/traffic/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestBothEndsCountTheSame(t *testing.T) {
+func TestClientAndServerCountsMatch(t *testing.T) {
 	served, called := new(expvar.Map), new(expvar.Map)
 	answer := http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
