--- a/logsync/budget.go
+++ b/logsync/budget.go
@@ -33,7 +33,7 @@
 
 // SharedBudget divides the append rate of the log among the instances. The
 // rates of all instances add up to at most TotalPerSecond if the instances
-// agree on the counts.
+// agree on the two counts.
 type SharedBudget struct {
 	TotalPerSecond      float64                  // appends per second of all instances; 0: DefaultTotalPerSecond
 	LiveInstances       func() int               // returns the number of live entry instances
--- a/logsync/checkpointer.go
+++ b/logsync/checkpointer.go
@@ -59,7 +59,7 @@
 	opts CheckpointerOptions
 }
 
-// NewCheckpointer returns a checkpointer that Run starts.
+// NewCheckpointer returns a checkpointer. Run starts it.
 func NewCheckpointer(opts CheckpointerOptions) *Checkpointer {
 	if opts.Age == 0 {
 		opts.Age = DefaultCheckpointAge
--- a/logsync/follower.go
+++ b/logsync/follower.go
@@ -77,7 +77,7 @@
 	machine        ViewMachine[V] // nil until the follower knows where to start
 	skippedThrough infra.Offset   // with FromOldest: records up to this offset have aged out and are ignored
 	status         Status
-	changed        chan struct{} // closed at the next change, then replaced
+	changed        chan struct{} // closed when a view is published, then replaced
 
 	view atomic.Pointer[V]
 }
@@ -127,8 +127,9 @@
 	return f.status
 }
 
-// Changed returns a channel that is closed at the next change of the view or the
-// status. To miss no change, call Changed before View or Status.
+// Changed returns a channel that is closed when a view is next published: after
+// each successful read, and after a restore. To miss no view, call Changed before
+// View or Status.
 func (f *Follower[V]) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -166,7 +167,7 @@
 func (f *Follower[V]) Run(ctx context.Context) error {
 	f.initCheckpointTime()
 	pause := minBackoff
-	spacing := rate.NewLimiter(rate.Every(f.opts.ReadInterval), readBurst) // below 0: no limit
+	limiter := rate.NewLimiter(rate.Every(f.opts.ReadInterval), readBurst) // below 0: no limit
 	for ctx.Err() == nil {
 		records, err := f.readOnce(ctx)
 		switch {
@@ -178,7 +179,7 @@
 		default:
 			pause = minBackoff
 			if records > 0 || !f.Status().CaughtUp {
-				_ = spacing.Wait(ctx) // fails only when ctx ends
+				_ = limiter.Wait(ctx) // fails only when ctx ends
 			}
 		}
 	}
--- a/logsync/follower_test.go
+++ b/logsync/follower_test.go
@@ -228,6 +228,8 @@
 	})
 }
 
+// TestUndecodableRecordsAreCounted: a record that can't be decoded is counted, and one
+// that has only an unknown field is not. Both advance the offset.
 func TestUndecodableRecordsAreCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
--- a/logsync/judge.go
+++ b/logsync/judge.go
@@ -19,10 +19,10 @@
 	// ranked before it. A change must be in force within 8 s of its acceptance,
 	// and its author should not wait longer for the acceptance itself.
 	judgeTakeoverDelay = 2 * time.Second
-	// unreadableConfigDelay is the additional delay of an instance whose
+	// unsupportedConfigDelay is the additional delay of an instance whose
 	// program version doesn't fully support the configuration in force. Instances
 	// that support it go first, but every change gets a verdict.
-	unreadableConfigDelay = 20 * time.Second
+	unsupportedConfigDelay = 20 * time.Second
 	// verdictTimeout limits the time to append one verdict.
 	verdictTimeout = 10 * time.Second
 )
@@ -55,7 +55,7 @@
 	builder *config.Builder
 }
 
-// NewJudge returns a judge that Run starts.
+// NewJudge returns a judge. Run starts it.
 func NewJudge(opts JudgeOptions) *Judge {
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
@@ -81,16 +81,16 @@
 // validates the change unless it has a verdict by then.
 func (j *Judge) judgeOldest(ctx context.Context, view *replay.ConfigView) {
 	pending := view.Pending[0]
-	turn := time.Now().Add(j.delay(view, pending.Offset))
-	for ctx.Err() == nil && time.Now().Before(turn) {
+	startAt := time.Now().Add(j.delay(view, pending.Offset))
+	for ctx.Err() == nil && time.Now().Before(startAt) {
 		changed := j.opts.Source.Changed()
 		if now := j.opts.Source.View(); !isOldestPending(now, pending.Offset) {
 			return
 		}
-		awaitChange(ctx, changed, time.Until(turn))
+		awaitChange(ctx, changed, time.Until(startAt))
 	}
 	if now := j.opts.Source.View(); ctx.Err() == nil && isOldestPending(now, pending.Offset) {
-		j.write(ctx, now)
+		j.appendVerdict(ctx, now)
 	}
 }
 
@@ -106,13 +106,13 @@
 	delay := time.Duration(rendezvous.Rank(key, j.opts.Members(), j.opts.Self)) * judgeTakeoverDelay
 	if _, _, refusal := j.builder.InForce(Files(view)); refusal != nil {
 		j.opts.Logger.WithField("error", refusal).Warn("configuration in force not fully supported by this program version")
-		delay += unreadableConfigDelay
+		delay += unsupportedConfigDelay
 	}
 	return delay
 }
 
-// write appends the verdict on the oldest pending change.
-func (j *Judge) write(ctx context.Context, view *replay.ConfigView) {
+// appendVerdict appends the verdict on the oldest pending change.
+func (j *Judge) appendVerdict(ctx context.Context, view *replay.ConfigView) {
 	pending := view.Pending[0]
 	verdict := j.builder.Judge(Files(view), pending.Change)
 	verdict.Change = uint64(pending.Offset)
--- a/logsync/judge_test.go
+++ b/logsync/judge_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestJudgeTakesOverFromDeadInstances: changes get a verdict in time even if two of
-// three instances are down.
+// TestJudgeTakesOverFromDeadInstances: changes get a verdict within three takeover
+// delays even if two of three instances are down.
 func TestJudgeTakesOverFromDeadInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
@@ -109,17 +109,17 @@
 		for _, n := range nodes {
 			n.waitForVerdict(t, first)
 		}
-		cut := nodes[2]
-		cut.client.SetFaults(logtest.Faults{Down: true})
+		disconnected := nodes[2]
+		disconnected.client.SetFaults(logtest.Faults{Down: true})
 		second := nodes[0].appendRecords(t, configChange("x.toml", "# new", first))
 		nodes[0].waitForVerdict(t, second)
 		time.Sleep(time.Hour / 2)
-		require.Equal(t, first, cut.follower.View().Base("x.toml"))
-		cut.client.SetFaults(logtest.Faults{})
-		healed := time.Now()
-		require.Equal(t, second, cut.waitForVerdict(t, second).Base("x.toml"))
-		require.Less(t, time.Since(healed), inForceWithin)
-		t.Logf("in force %v after reconnection", time.Since(healed))
+		require.Equal(t, first, disconnected.follower.View().Base("x.toml"))
+		disconnected.client.SetFaults(logtest.Faults{})
+		reconnected := time.Now()
+		require.Equal(t, second, disconnected.waitForVerdict(t, second).Base("x.toml"))
+		require.Less(t, time.Since(reconnected), inForceWithin)
+		t.Logf("in force %v after reconnection", time.Since(reconnected))
 	})
 }
 
@@ -240,20 +240,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		log := logtest.New()
 		nodes := startJudges(t, log, "a", "b")
-		stern := newNode(t, log, "stern", nil)
-		stern.start(func(ctx context.Context) error {
+		rejecting := newNode(t, log, "stern", nil)
+		rejecting.start(func(ctx context.Context) error {
 			for ctx.Err() == nil {
-				changed := stern.follower.Changed()
-				if v := stern.follower.View(); v != nil && len(v.Pending) > 0 {
+				changed := rejecting.follower.Changed()
+				if v := rejecting.follower.View(); v != nil && len(v.Pending) > 0 {
 					r := &record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: &record.ConfigVerdict{
 						Change: uint64(v.Pending[0].Offset), Reason: "another version's rule"}}}
-					_, _ = stern.writer.Append(ctx, infra.StreamConfig, r)
+					_, _ = rejecting.writer.Append(ctx, infra.StreamConfig, r)
 				}
 				awaitChange(ctx, changed, time.Second)
 			}
 			return nil
 		})
-		nodes = append(nodes, stern)
+		nodes = append(nodes, rejecting)
 		for i, n := range nodes {
 			n.client.SetFaults(logtest.Faults{Delay: time.Duration(10+i*3) * time.Millisecond})
 		}
--- a/logsync/logtest/logtest.go
+++ b/logsync/logtest/logtest.go
@@ -135,7 +135,7 @@
 	requestLate
 )
 
-// outcome returns the outcome of the next append with the faults before it, and
+// outcome returns the outcome of one append and the faults that apply to it, and
 // counts down the faults.
 func (c *Client) outcome() (outcome, Faults) {
 	c.mu.Lock()
--- a/logsync/start.go
+++ b/logsync/start.go
@@ -102,8 +102,8 @@
 	return decoded.GetCheckpoint()
 }
 
-// restoreFromPeers restores the newest state among the peers' that covers at
-// least atLeast and is not older than the state of this follower.
+// restoreFromPeers restores the newest of the peers' states that covers at least
+// atLeast and is not older than the state of this follower.
 func (f *Follower[V]) restoreFromPeers(ctx context.Context, atLeast infra.Offset) error {
 	if f.opts.Peers == nil {
 		return &NoStateError{Stream: f.opts.Stream, AtLeast: atLeast}
--- a/logsync/writer_test.go
+++ b/logsync/writer_test.go
@@ -42,10 +42,10 @@
 // reader sees the append once, at the offset that the writer returned.
 func TestLostAppendsAreNotDuplicated(t *testing.T) {
 	cases := map[string]logtest.Faults{
-		"answers lost":  {LoseAnswers: 3},
-		"requests lost": {LoseRequests: 3},
-		"requests late": {LateRequests: 2, LateBy: 90 * time.Millisecond},
-		"far too late":  {LateRequests: 2, LateBy: time.Minute},
+		"answers lost":       {LoseAnswers: 3},
+		"requests lost":      {LoseRequests: 3},
+		"requests late":      {LateRequests: 2, LateBy: 90 * time.Millisecond},
+		"requests very late": {LateRequests: 2, LateBy: time.Minute},
 	}
 	for name, faults := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -119,14 +119,14 @@
 
 func TestSharedBudgetSumsToTotal(t *testing.T) {
 	const instances, streams = 370, 25
-	share := SharedBudget{
+	budget := SharedBudget{
 		LiveInstances:       func() int { return instances },
 		SingleWriterStreams: func() int { return streams },
 		IsWriter:            func(stream string) bool { return stream == "claims/1" },
 	}
-	led, _ := share.Rate("claims/1")
-	own, _ := share.Rate(infra.StreamConfig)
-	other, _ := share.Rate("claims/2")
-	require.InDelta(t, DefaultTotalPerSecond, led*streams+own*instances, 1e-6)
-	require.Equal(t, own, other)
+	writerRate, _ := budget.Rate("claims/1")
+	instanceRate, _ := budget.Rate(infra.StreamConfig)
+	otherRate, _ := budget.Rate("claims/2")
+	require.InDelta(t, DefaultTotalPerSecond, writerRate*streams+instanceRate*instances, 1e-6)
+	require.Equal(t, instanceRate, otherRate)
 }
