--- a/demand/collector.go
+++ b/demand/collector.go
@@ -12,49 +12,51 @@
 )
 
 const (
-	// SampleOwn is how many entry instances of the own failure domain are asked
-	// each time. A balancer spreads callers evenly, so a few speak for all; the
-	// cost stays the same however many instances there are.
+	// OwnDomainSample is the number of entry instances in the collector's own
+	// failure domain that are queried per round. A load balancer spreads callers
+	// evenly, so a few instances represent all of them, and the cost doesn't
+	// grow with the number of instances.
 	OwnDomainSample = 4
-	// SampleOthers is how many of all other failure domains are asked each time.
+	// OtherDomainsSample is the number of instances that are queried per round in
+	// all other failure domains together.
 	OtherDomainsSample = 2
-	// AskEvery is the least time between two rounds. An answer names up to a
-	// hundred targets in some 3 KB, so six of them in 15 s are 1.2 KB/s.
+	// SampleInterval is the minimum time between two rounds. An answer has up to
+	// a hundred targets in about 3 KB, so six answers in 15 s are 1.2 KB/s.
 	SampleInterval = 15 * time.Second
-	// SampleLife is how long an answer counts: four rounds.
+	// SampleTTL is how long an answer is used: four rounds.
 	SampleTTL = 4 * SampleInterval
-	// askTime bounds one round.
+	// sampleTimeout limits the time of one round.
 	sampleTimeout = 2 * time.Second
 )
 
-// Report is what an entry instance says of a failure domain.
+// Report is an entry instance's report on a failure domain.
 type Report struct {
-	Rates map[string]Rates      // what the domain was asked for through it, by target
-	Loads map[string]infra.Load // the loads that rode on its answers lately, by server
+	Rates map[string]Rates      // demand for the domain's servers through the instance, by target
+	Loads map[string]infra.Load // recent loads reported in the servers' answers, by server
 }
 
-// Asker asks an entry instance what a failure domain was asked for through it.
+// Querier queries an entry instance for its report on a failure domain.
 type Querier interface {
 	Demand(ctx context.Context, instance infra.Instance, domain string) (Report, error)
 }
 
-// Collector estimates what callers ask of one failure domain from a sample of
+// Collector estimates the callers' demand for one failure domain from a sample of
 // entry instances.
 type Collector struct {
 	domain  string
 	querier Querier
-	entries func() []infra.Instance // the live ones, of all failure domains
+	entries func() []infra.Instance // returns the live entry instances of all failure domains
 
 	mu        sync.Mutex
 	rng       *rand.Rand
-	lastRound time.Time         // when the last round began
+	lastRound time.Time         // start of the last round
 	samples   map[string]sample // by instance id
 }
 
-// sample is one instance's answer.
+// sample is the answer of one instance.
 type sample struct {
 	receivedAt time.Time
-	domain     string // where the instance is
+	domain     string // the failure domain of the instance
 	report     Report
 }
 
@@ -63,8 +65,8 @@
 	return &Collector{domain: domain, querier: querier, entries: entries, rng: rng, samples: map[string]sample{}}
 }
 
-// Collect returns the estimate of the failure domain's whole demand, by target,
-// after asking a new sample if AskEvery has passed.
+// Collect returns the estimated demand for the failure domain from all callers, by
+// target. It queries a new sample first if SampleInterval has passed.
 func (c *Collector) Collect(ctx context.Context) map[string]Rates {
 	entries := c.entries()
 	if c.startRound(time.Now()) {
@@ -73,7 +75,7 @@
 	return c.estimate(time.Now(), entries)
 }
 
-// due says whether a round is, and notes that it begins.
+// startRound reports whether a round is due and, if so, records its start.
 func (c *Collector) startRound(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -84,7 +86,7 @@
 	return true
 }
 
-// round asks a new sample.
+// sampleRound queries a new sample of instances.
 func (c *Collector) sampleRound(ctx context.Context, entries []infra.Instance) {
 	ctx, cancel := context.WithTimeout(ctx, sampleTimeout)
 	defer cancel()
@@ -95,9 +97,11 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // ask returns no error: an instance that is silent is not counted
+	_ = group.Wait() // query returns no error; an instance that fails to answer is not counted
 }
 
+// query stores the answer of one instance, or removes its earlier answer after a
+// failure.
 func (c *Collector) query(ctx context.Context, instance infra.Instance) {
 	report, err := c.querier.Demand(ctx, instance, c.domain)
 	c.mu.Lock()
@@ -109,7 +113,7 @@
 	c.samples[instance.ID] = sample{receivedAt: time.Now(), domain: instance.FailureDomain, report: report}
 }
 
-// choose draws the instances to ask.
+// chooseInstances returns a random choice of the instances to query.
 func (c *Collector) chooseInstances(entries []infra.Instance) []infra.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -126,24 +130,24 @@
 	return chosen
 }
 
-// Loads returns the newest loads that the samples told of, by server.
+// Loads returns the newest loads in the samples, by server.
 func (c *Collector) Loads() map[string]infra.Load {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	loads := map[string]infra.Load{}
-	told := map[string]time.Time{}
+	newest := map[string]time.Time{}
 	for _, s := range c.samples {
 		for server, load := range s.report.Loads {
-			if s.receivedAt.After(told[server]) {
-				loads[server], told[server] = load, s.receivedAt
+			if s.receivedAt.After(newest[server]) {
+				loads[server], newest[server] = load, s.receivedAt
 			}
 		}
 	}
 	return loads
 }
 
-// estimate scales what the newest samples of each failure domain say to all
-// instances there.
+// estimate returns the sum of the samples' rates. The rates from each failure domain
+// are scaled from the sampled instances to all instances there.
 func (c *Collector) estimate(now time.Time, entries []infra.Instance) map[string]Rates {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/demand/demand_test.go
+++ b/demand/demand_test.go
@@ -39,7 +39,8 @@
 	require.InEpsilon(t, 0.5/DecayTimeConstant.Seconds(), m.Rates(start, "pelotas")["m"].Refused, 1e-9)
 }
 
-// evenly answers with the same rates for every instance but the silent ones.
+// uniformQuerier returns the same rates for every instance, and an error for the
+// silent ones.
 type uniformQuerier struct{ silent map[string]bool }
 
 type noAnswerError struct{}
@@ -67,8 +68,8 @@
 func TestSampleIsScaledToAllInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := append(entryInstances("porto-a", 41), entryInstances("pelotas", 41)...)
-		asker := uniformQuerier{silent: map[string]bool{"porto-a0": true, "porto-a7": true}}
-		c := NewCollector("porto-a", asker, func() []infra.Instance { return all }, rand.New(rand.NewPCG(1, 1)))
+		querier := uniformQuerier{silent: map[string]bool{"porto-a0": true, "porto-a7": true}}
+		c := NewCollector("porto-a", querier, func() []infra.Instance { return all }, rand.New(rand.NewPCG(1, 1)))
 		for range 5 {
 			require.InEpsilon(t, 2*82, c.Collect(t.Context())["m"].Requests, 1e-9)
 			time.Sleep(SampleInterval)
@@ -76,7 +77,7 @@
 	})
 }
 
-// counting counts the questions.
+// countingQuerier counts the queries.
 type countingQuerier struct {
 	uniformQuerier
 	queries *atomic.Int64
@@ -90,13 +91,13 @@
 func TestQueryCountIsIndependentOfInstancesAndCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		all := append(entryInstances("porto-a", 41), entryInstances("pelotas", 329)...)
-		asker := countingQuerier{queries: new(atomic.Int64)}
-		c := NewCollector("porto-a", asker, func() []infra.Instance { return all }, rand.New(rand.NewPCG(1, 1)))
+		querier := countingQuerier{queries: new(atomic.Int64)}
+		c := NewCollector("porto-a", querier, func() []infra.Instance { return all }, rand.New(rand.NewPCG(1, 1)))
 		for range 60 {
 			require.NotEmpty(t, c.Collect(t.Context()))
 			time.Sleep(time.Second)
 		}
-		require.EqualValues(t, 4*(OwnDomainSample+OtherDomainsSample), asker.queries.Load())
+		require.EqualValues(t, 4*(OwnDomainSample+OtherDomainsSample), querier.queries.Load())
 	})
 }
 
--- a/demand/loads.go
+++ b/demand/loads.go
@@ -7,32 +7,35 @@
 	"greengageferry/infra"
 )
 
-// loadLife is how long a load counts: it tells of the batch of that moment.
+// loadTTL is how long a load report is used. It describes the server's batch at the
+// time of the report.
 const loadTTL = 20 * time.Second
 
-// Loads keeps the load reports that rode on answers. Its methods may be called
-// from any goroutine. It holds one report for each server used lately.
+// Loads holds the newest load report that came with an answer of each recently used
+// server. Its methods are safe for concurrent use.
 type Loads struct {
 	mu      sync.Mutex
 	reports map[string]loadReport // by server
 }
 
+// loadReport is a load and the time at which it was received.
 type loadReport struct {
 	receivedAt time.Time
 	load       infra.Load
 }
 
-// NewLoads returns an empty board.
+// NewLoads returns an empty collection of load reports.
 func NewLoads() *Loads { return &Loads{reports: map[string]loadReport{}} }
 
-// Seen takes in a server's report.
+// Record stores a server's report.
 func (l *Loads) Record(now time.Time, server string, load infra.Load) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.reports[server] = loadReport{now, load}
 }
 
-// Recent returns the reports that still count, by server.
+// Recent returns the loads that are not older than loadTTL, by server, and removes
+// the others.
 func (l *Loads) Recent(now time.Time) map[string]infra.Load {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/demand/meter.go
+++ b/demand/meter.go
@@ -1,6 +1,8 @@
-// Package demand measures what callers ask for, so that placement can follow
-// it. Each entry instance meters its own requests; the lease holder of a
-// failure domain asks a sample of instances and scales what they say.
+// Package demand measures the callers' demand for models and adapters, on which
+// placement is based. Each entry instance counts its own requests in a Meter and
+// keeps the servers' load reports in Loads. The lease holder of a failure domain
+// runs a Collector, which queries a sample of instances and scales their rates to
+// all instances.
 package demand
 
 import (
@@ -10,36 +12,37 @@
 )
 
 const (
-	// TimeConstant is how long a request counts toward a rate: long enough
-	// that an instance with three requests a second gives a steady figure, and
-	// short beside the hour in which demand moves tenfold.
+	// DecayTimeConstant is the time in which a count decays to 1/e. It is long
+	// enough for a steady rate at three requests per second, and short compared
+	// to the hour in which demand can change tenfold.
 	DecayTimeConstant = 30 * time.Second
-	// forgotten is the count at which a target is dropped: five time constants
-	// after a single request.
+	// minCount is the count below which a target is dropped. A single request
+	// decays to it in five time constants.
 	minCount = 0.007
 )
 
-// Rates is what is asked of one model or adapter, in a second.
+// Rates is the demand for one model or adapter, per second.
 type Rates struct {
 	Requests float64
 	Tokens   float64
-	Refused  float64 // for want of capacity
+	Refused  float64 // requests refused for lack of capacity
 }
 
-// key names a target and the failure domain that served it, or would have.
+// key is a target and the failure domain that served it or could have served it.
 type key struct {
 	target string
 	domain string
 }
 
-// counts decay: what was counted a TimeConstant ago weighs 1/e.
+// counts are exponentially decayed counts as of updatedAt. What was counted one
+// DecayTimeConstant ago has a weight of 1/e.
 type counts struct {
 	updatedAt                 time.Time
 	requests, tokens, refused float64
 }
 
-// Meter counts requests with exponential decay. Its methods may be called from
-// any goroutine.
+// Meter counts requests with exponential decay. Its methods are safe for concurrent
+// use.
 type Meter struct {
 	mu     sync.Mutex
 	counts map[key]*counts
@@ -48,18 +51,18 @@
 // NewMeter returns an empty meter.
 func NewMeter() *Meter { return &Meter{counts: map[key]*counts{}} }
 
-// Dispatched counts a request sent to a server of the failure domain.
+// Dispatched counts a request that was sent to a server in the failure domain.
 func (m *Meter) Dispatched(now time.Time, target, domain string) {
 	m.add(now, key{target, domain}, func(c *counts) { c.requests++ })
 }
 
-// Generated counts the tokens of a request's answer.
+// Generated counts tokens of the answer to a request.
 func (m *Meter) Generated(now time.Time, target, domain string, tokens int) {
 	m.add(now, key{target, domain}, func(c *counts) { c.tokens += float64(tokens) })
 }
 
-// Refused counts a request refused for want of capacity, spread evenly over the
-// failure domains that could have served it.
+// Refused counts a request that was refused for lack of capacity, split evenly among
+// the failure domains that could have served it.
 func (m *Meter) Refused(now time.Time, target string, domains []string) {
 	part := 1 / float64(max(len(domains), 1))
 	for _, domain := range domains {
@@ -67,7 +70,7 @@
 	}
 }
 
-// Rates returns the rates of what a failure domain was asked, by target.
+// Rates returns the demand for a failure domain, by target.
 func (m *Meter) Rates(now time.Time, domain string) map[string]Rates {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -85,6 +88,7 @@
 	return rates
 }
 
+// add decays the counts of the key to now and lets count change them.
 func (m *Meter) add(now time.Time, k key, count func(*counts)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -97,7 +101,7 @@
 	count(c)
 }
 
-// decay brings the counts up to now.
+// decay decays the counts from updatedAt to now.
 func (c *counts) decay(now time.Time) {
 	passed := now.Sub(c.updatedAt)
 	if passed <= 0 {
@@ -110,6 +114,7 @@
 	c.updatedAt = now
 }
 
+// rates returns the counts as rates per second.
 func (c *counts) rates() Rates {
 	seconds := DecayTimeConstant.Seconds()
 	return Rates{Requests: c.requests / seconds, Tokens: c.tokens / seconds, Refused: c.refused / seconds}
--- a/fleet/bench_test.go
+++ b/fleet/bench_test.go
@@ -10,9 +10,9 @@
 	"greengageferry/replay"
 )
 
-// sized makes a fleet of n backend servers in nine failure domains, with the
-// two-year size's proportions: 870 models and 370 entry instances for 1,900
-// servers, two replicas of each model.
+// newFleet returns a fleet with the given number of backend servers in nine failure
+// domains. The proportions are those of the fleet expected in two years: 870
+// models with two replicas each, and 370 entry instances, per 1,900 servers.
 func newFleet(servers int) (*config.Config, *List, map[string]*replay.ControlView) {
 	cfg := &config.Config{
 		Partners: map[string]config.Partner{"p": {Weight: 1}},
@@ -41,8 +41,8 @@
 	return cfg, NewList(time.Time{}, instances), views
 }
 
-// BenchmarkBuildTable measures the whole table, which is built at most four
-// times a second and only when something in it has changed.
+// BenchmarkBuildTable measures a build of the whole table. Instances build the table
+// at most four times per second, and only after a change.
 func BenchmarkBuildTable(b *testing.B) {
 	for _, servers := range []int{475, 950, 1900} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// BenchmarkReadList measures one look at an unchanged list.
+// BenchmarkReadList measures the indexing of a list that was read.
 func BenchmarkReadList(b *testing.B) {
 	for _, servers := range []int{475, 950, 1900} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/fleet/fleet_test.go
+++ b/fleet/fleet_test.go
@@ -79,7 +79,7 @@
 	require.Empty(t, table.Targets["a"].Replicas)
 }
 
-// lister answers with what the test sets.
+// fakeLister returns the list and error that the test sets.
 type fakeLister struct {
 	mu        sync.Mutex
 	instances []infra.Instance
--- a/fleet/list.go
+++ b/fleet/list.go
@@ -1,6 +1,8 @@
-// Package fleet is what an entry instance knows of the instances around it: the
-// platform's lagging list, followed by one duty, and the routing table that
-// follows from the list, the configuration and the control streams.
+// Package fleet holds what an entry instance knows about other instances and
+// backend servers. A Watcher is a background task that polls the platform's
+// instance list, which lags behind the instances' actual state, and publishes each
+// snapshot as an immutable List. BuildTable computes the routing table from the
+// list, the configuration and the views of the control streams.
 package fleet
 
 import (
@@ -19,33 +21,33 @@
 )
 
 const (
-	// DefaultEvery is the time between two looks at the list: together with a
-	// table's rebuilding it keeps a leaving server's last new work within the
-	// 3 s that are promised.
+	// DefaultListInterval is the time between two reads of the list. Together with
+	// the time to rebuild the routing table, it ensures that a leaving server
+	// gets no new work after the guaranteed 3 s.
 	DefaultListInterval = time.Second
-	// callTimeout bounds one look, so that a stuck list is seen as down.
+	// listTimeout limits one read, so that a list that hangs counts as down.
 	listTimeout = 2 * time.Second
 )
 
-// List is the platform's list as last read. It is immutable.
+// List is a snapshot of the platform's instance list. It is immutable.
 type List struct {
-	ReadAt    time.Time // when it was read, on this instance's clock
-	Instances []infra.Instance
-	byID      map[string]int
+	ReadAt    time.Time        // the time of the read on this instance's clock
+	Instances []infra.Instance // ordered by id
+	byID      map[string]int   // index into Instances
 }
 
-// NewList sorts the instances by id and indexes them.
-func NewList(read time.Time, instances []infra.Instance) *List {
+// NewList returns a list of the instances, read at the given time.
+func NewList(readAt time.Time, instances []infra.Instance) *List {
 	sorted := append([]infra.Instance(nil), instances...)
 	sort.Slice(sorted, func(i, j int) bool { return sorted[i].ID < sorted[j].ID })
-	l := &List{ReadAt: read, Instances: sorted, byID: make(map[string]int, len(sorted))}
+	l := &List{ReadAt: readAt, Instances: sorted, byID: make(map[string]int, len(sorted))}
 	for i, inst := range sorted {
 		l.byID[inst.ID] = i
 	}
 	return l
 }
 
-// Get returns the instance of that id.
+// Get returns the instance with the id. A nil list has none.
 func (l *List) Get(id string) (infra.Instance, bool) {
 	if l == nil {
 		return infra.Instance{}, false
@@ -71,24 +73,25 @@
 	return found
 }
 
-// Entries returns the live entry instances of a failure domain, or of all where
-// domain is empty.
+// Entries returns the live entry instances of a failure domain, or of all failure
+// domains if domain is empty.
 func (l *List) Entries(domain string) []infra.Instance {
 	return l.Select(func(i infra.Instance) bool {
 		return i.Role == infra.RoleEntry && i.State == infra.StateLive && (domain == "" || i.FailureDomain == domain)
 	})
 }
 
-// Servers returns the backend servers that run model engines in a failure
-// domain, leaving ones too.
+// Servers returns the backend servers that run model engines in a failure domain,
+// including those that are leaving.
 func (l *List) Servers(domain string) []infra.Instance {
 	return l.Select(func(i infra.Instance) bool {
 		return i.Role == infra.RoleEngine && i.FailureDomain == domain
 	})
 }
 
-// Watcher follows the platform's list. While the list can't be read it keeps
-// the last one: an outage of the list must not empty the routing.
+// Watcher polls the platform's instance list. While the list can't be read, the
+// watcher keeps the last one, so that an outage of the list doesn't empty the
+// routing table.
 type Watcher struct {
 	source   infra.Instances
 	interval time.Duration
@@ -97,8 +100,8 @@
 	current  atomic.Pointer[List]
 }
 
-// NewWatcher returns a watcher that looks at the source each time `every` has
-// passed; zero takes DefaultEvery.
+// NewWatcher returns a watcher that reads the list from source once per interval;
+// zero selects DefaultListInterval.
 func NewWatcher(source infra.Instances, interval time.Duration, log logrus.FieldLogger, metrics *expvar.Map) *Watcher {
 	if interval == 0 {
 		interval = DefaultListInterval
@@ -106,20 +109,20 @@
 	return &Watcher{source: source, interval: interval, log: log, metrics: metrics}
 }
 
-// List returns the list as last read, or nil before the first. While nothing
-// changes, the lists share their instances.
+// List returns the last list that was read, or nil if there is none yet. Lists
+// with equal instances share the slice.
 func (w *Watcher) List() *List { return w.current.Load() }
 
-// Run looks at the list until ctx ends.
+// Run polls the list until ctx ends. It returns nil.
 func (w *Watcher) Run(ctx context.Context) error {
 	failing := false
 	for {
 		err := w.refresh(ctx)
 		if err != nil && !failing && ctx.Err() == nil {
-			w.log.WithField("error", err).Warn("instance list out of reach, keeping the last one")
+			w.log.WithField("error", err).Warn("instance list can't be read, keeping the last one")
 		}
 		if err == nil && failing {
-			w.log.Info("instance list read again")
+			w.log.Info("instance list can be read again")
 		}
 		failing = err != nil
 		if !supervise.Pause(ctx, jittered(w.interval)) {
@@ -128,7 +131,7 @@
 	}
 }
 
-// look reads the list once.
+// refresh reads the list once.
 func (w *Watcher) refresh(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -148,7 +151,7 @@
 	return nil
 }
 
-// note logs what has changed.
+// logChange counts a change of the list and logs the number of instances.
 func (w *Watcher) logChange(last, next *List) {
 	w.metrics.Add("list_changes", 1)
 	before := 0
@@ -158,8 +161,8 @@
 	w.log.WithFields(logrus.Fields{"instances": len(next.Instances), "before": before}).Info("instance list changed")
 }
 
-// jittered spreads looks by up to a tenth, so that instances started together
-// don't ask together.
+// jittered returns d shortened by a random tenth at most, so that instances that
+// start together don't read the list at the same time.
 func jittered(d time.Duration) time.Duration {
 	return d - rand.N(d/10+1)
 }
--- a/fleet/table.go
+++ b/fleet/table.go
@@ -12,14 +12,16 @@
 	"greengageferry/replay"
 )
 
-// ServiceSlots is how many calls one instance has at a plain service's backend
-// server at once: services don't batch, and say themselves when they are full,
-// so this only keeps a stuck one from taking all of an instance's memory.
+// ServiceSlots is the number of concurrent calls from one instance to one backend
+// server of a plain service. Services don't batch and report by themselves when
+// they are full, so this limit only keeps a server that hangs from using up the
+// instance's memory.
 const ServiceSlots = 64
 
-// BuildTable works out the routing table. It is pure. A server that is not on
-// the list can't be reached and isn't in the table; a replica counts only once
-// the lease holder has put on the log that it is ready.
+// BuildTable returns the routing table of an instance in ownDomain. It is a pure
+// function. A server that is not on the list can't be reached and isn't in the
+// table. A replica is in the table only once the lease holder has recorded on the
+// log that the replica is ready.
 func BuildTable(ownDomain string, cfg *config.Config, list *List, controls map[string]*replay.ControlView) *decide.Table {
 	b := tableBuilder{
 		cfg:   cfg,
@@ -49,13 +51,14 @@
 	return b.table
 }
 
-// builder holds a table while it is built.
+// tableBuilder holds a table under construction.
 type tableBuilder struct {
 	cfg   *config.Config
 	table *decide.Table
-	index map[string]int // by server id
+	index map[string]int // index into table.Servers, by server id
 }
 
+// addServers adds the backend servers on the list.
 func (b *tableBuilder) addServers(list *List) {
 	for _, inst := range list.Instances {
 		if inst.Role != infra.RoleEngine && inst.Role != infra.RoleService {
@@ -73,6 +76,7 @@
 	}
 }
 
+// slots returns the number of concurrent requests that the server takes.
 func (b *tableBuilder) slots(inst infra.Instance) int {
 	if inst.Role == infra.RoleService {
 		return ServiceSlots
@@ -80,6 +84,7 @@
 	return b.cfg.Pools[inst.Pool].Slots
 }
 
+// addTargets adds a target for each model, adapter and service.
 func (b *tableBuilder) addTargets() {
 	for name, m := range b.cfg.Models {
 		b.table.Targets[name] = modelTarget(name, m.Owner, name, "", m)
@@ -111,6 +116,7 @@
 	}
 }
 
+// serviceReplicas returns all servers in the service's pool as replicas.
 func (b *tableBuilder) serviceReplicas(service string) []decide.Replica {
 	var replicas []decide.Replica
 	for i, s := range b.table.Servers {
@@ -121,7 +127,7 @@
 	return replicas
 }
 
-// addReplicas adds what the servers of one failure domain are known to serve.
+// addReplicas adds the ready models and adapters of a failure domain's servers.
 func (b *tableBuilder) addReplicas(view *replay.ControlView) {
 	if view == nil {
 		return
@@ -137,13 +143,13 @@
 	}
 }
 
-// addReplica adds one item; an adapter only where a version of its model is
-// ready beside it.
-func (b *tableBuilder) addReplica(server int, item infra.Item, beside []infra.Item) {
+// addReplica adds a model or adapter that is ready on the server. An adapter counts
+// only if a version of its model is among the server's ready items.
+func (b *tableBuilder) addReplica(server int, item infra.Item, ready []infra.Item) {
 	name, version := item.Model, item.Version
 	if item.Adapter != "" {
 		name = item.Adapter
-		if !hasModel(beside, item.Model) {
+		if !hasModel(ready, item.Model) {
 			return
 		}
 	}
@@ -154,6 +160,7 @@
 	target.Replicas = append(target.Replicas, decide.Replica{Server: server, Version: version})
 }
 
+// hasModel reports whether the items include a version of the model.
 func hasModel(items []infra.Item, model string) bool {
 	for _, item := range items {
 		if item.Adapter == "" && item.Model == model {
@@ -163,7 +170,7 @@
 	return false
 }
 
-// sortReplicas puts the declared version first.
+// sortReplicas puts the replicas of the declared version first in each target.
 func (b *tableBuilder) sortReplicas() {
 	for _, target := range b.table.Targets {
 		if target.Service {
--- a/peer/client.go
+++ b/peer/client.go
@@ -15,28 +15,29 @@
 	"greengageferry/traffic"
 )
 
-// CallTime bounds a call whose context has a later deadline or none: a peer
-// answers from memory, but for claims, which wait for the log.
+// CallTimeout limits the time of a call whose context has no earlier deadline. Peers
+// answer from memory, except for claims, which wait for an append to the log.
 const CallTimeout = 3 * time.Second
 
-// Client calls other entry instances by their peers' addresses.
+// Client calls the peer APIs of other entry instances.
 type Client struct {
 	http  *http.Client
 	token string
 }
 
-// NewClient returns a client that shows the token and counts its traffic.
+// NewClient returns a client that sends the token with each call and counts its
+// traffic.
 func NewClient(base http.RoundTripper, token string, counters *traffic.Counters) *Client {
 	counted := &traffic.Transport{Base: base, Counters: counters}
 	return &Client{http: &http.Client{Transport: counted}, token: token}
 }
 
-// at returns the peer at an address.
+// peerAt returns the API of the peer at an address.
 func (c *Client) peerAt(addr string) Peer {
 	return NewPeerProtobufClient("http://"+addr, c.http)
 }
 
-// begin bounds a call and has it show the token.
+// callContext returns the context of one call, with the token and the timeout.
 func (c *Client) callContext(ctx context.Context) (context.Context, context.CancelFunc, error) {
 	ctx, err := twirp.WithHTTPRequestHeaders(ctx, http.Header{TokenHeader: {c.token}})
 	if err != nil {
@@ -46,7 +47,8 @@
 	return ctx, cancel, nil
 }
 
-// call makes one call to the peer at an address.
+// call makes one call to the peer at an address. Its errors are of type
+// *infra.Error.
 func call[T any](ctx context.Context, c *Client, op, addr string, do func(context.Context, Peer) (T, error)) (T, error) {
 	var none T
 	ctx, cancel, err := c.callContext(ctx)
@@ -61,8 +63,8 @@
 	return got, nil
 }
 
-// callFailed turns a twirp error into a infra.Error. A call that was refused
-// before it started, or found nothing, had no effect.
+// toInfraError returns the error of a call as an *infra.Error. A call that the peer
+// refused before it did anything, or that found nothing, had no effect.
 func toInfraError(ctx context.Context, op, addr string, err error) error {
 	failed := &infra.Error{Op: op, Addr: addr, Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown, Err: err}
 	var refused twirp.Error
@@ -75,7 +77,7 @@
 	return failed
 }
 
-// isRefusal says whether a peer answers so before it does anything.
+// isRefusal reports whether a peer returns the code only if it did nothing.
 func isRefusal(code twirp.ErrorCode) bool {
 	switch code {
 	case twirp.NotFound, twirp.FailedPrecondition, twirp.Unauthenticated, twirp.InvalidArgument, twirp.BadRoute, twirp.Malformed:
@@ -92,7 +94,7 @@
 	})
 }
 
-// Demand implements demand.Asker.
+// Demand implements demand.Querier.
 func (c *Client) Demand(ctx context.Context, instance infra.Instance, domain string) (demand.Report, error) {
 	r, err := call(ctx, c, "peer.demand", instance.Addr, func(ctx context.Context, p Peer) (*DemandResponse, error) {
 		return p.Demand(ctx, &DemandRequest{FailureDomain: domain})
@@ -114,8 +116,8 @@
 	return report, nil
 }
 
-// Missing tells the lease holder at an address of a server that lacks what it
-// should hold.
+// Missing reports a backend server that lacks models or adapters assigned to it to
+// the lease holder at an address.
 func (c *Client) Missing(ctx context.Context, addr, server string) error {
 	_, err := call(ctx, c, "peer.missing", addr, func(ctx context.Context, p Peer) (*MissingResponse, error) {
 		return p.Missing(ctx, &MissingRequest{Server: server})
@@ -123,9 +125,9 @@
 	return err
 }
 
-// Claim asks the batcher at an address to put claims, each an encoded
-// record.Record, on the shard's stream. An error with infra.EffectNone means
-// that none of them is there.
+// Claim asks the batcher at an address to append claims to the shard's stream. Each
+// claim is an encoded record.Record. After an error with infra.EffectNone, none of
+// them is on the stream.
 func (c *Client) Claim(ctx context.Context, addr string, shard uint32, claims [][]byte) ([]*ClaimStanding, error) {
 	return call(ctx, c, "peer.claim", addr, func(ctx context.Context, p Peer) ([]*ClaimStanding, error) {
 		r, err := p.Claim(ctx, &ClaimRequest{Shard: shard, Claims: claims})
@@ -133,7 +135,9 @@
 	})
 }
 
-// Answer asks the instance at an address for what it answered to an attempt.
+// Answer asks the instance at an address for its answer to an attempt. found reports
+// whether the instance knows the attempt, and finished whether the attempt has
+// ended.
 func (c *Client) Answer(ctx context.Context, addr, attempt string) (answer Answer, finished, found bool, err error) {
 	r, err := call(ctx, c, "peer.answer", addr, func(ctx context.Context, p Peer) (*AnswerResponse, error) {
 		return p.Answer(ctx, &AnswerRequest{Attempt: attempt})
@@ -152,8 +156,8 @@
 	return answer, r.GetFinished(), r.GetFound(), nil
 }
 
-// State asks the instance at an address for its state of a stream, covering at
-// least an offset.
+// State asks the instance at an address for its state of a stream, which covers at
+// least the offset atLeast.
 func (c *Client) State(ctx context.Context, addr, stream string, atLeast infra.Offset) (*record.Checkpoint, error) {
 	return call(ctx, c, "peer.state", addr, func(ctx context.Context, p Peer) (*record.Checkpoint, error) {
 		r, err := p.State(ctx, &StateRequest{Stream: stream, AtLeast: uint64(atLeast)})
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -22,13 +22,15 @@
 
 const token = "a token of the peers"
 
-// claimer answers with what the test sets.
+// fakeClaimServer returns one granted standing, whose attempt is the claim at the
+// index shard, and the error that the test sets.
 type fakeClaimServer struct{ err error }
 
 func (c fakeClaimServer) Claim(_ context.Context, shard uint32, claims [][]byte) ([]*ClaimStanding, error) {
 	return []*ClaimStanding{{Verdict: ClaimStanding_GRANTED, Attempt: string(claims[shard])}}, c.err
 }
 
+// testOptions returns the options of a peer whose state covers the offset covers.
 func testOptions(covers uint64, claimErr error) HandlerOptions {
 	return HandlerOptions{
 		Instance:      "entry-1",
@@ -54,15 +56,15 @@
 	}
 }
 
-// serve returns the address of a peer.
+// startPeer starts a peer and returns its address.
 func startPeer(t *testing.T, b HandlerOptions) string {
 	server := httptest.NewServer(Handler(b, token, traffic.NewCounters(new(expvar.Map))))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func newTestClient(shown string) *Client {
-	return NewClient(&http.Transport{DisableKeepAlives: true}, shown, traffic.NewCounters(new(expvar.Map)))
+func newTestClient(clientToken string) *Client {
+	return NewClient(&http.Transport{DisableKeepAlives: true}, clientToken, traffic.NewCounters(new(expvar.Map)))
 }
 
 func TestCallsReturnThePeersAnswers(t *testing.T) {
@@ -105,10 +107,10 @@
 		addr, token string
 		want        infra.Effect
 	}{
-		"wrong token":     {startPeer(t, testOptions(1, nil)), "another token of somebody", infra.EffectNone},
-		"log refused":     {startPeer(t, testOptions(1, none)), token, infra.EffectNone},
-		"log's answer":    {startPeer(t, testOptions(1, unknown)), token, infra.EffectUnknown},
-		"nobody is there": {strings.TrimPrefix(closed.URL, "http://"), token, infra.EffectUnknown},
+		"wrong token":               {startPeer(t, testOptions(1, nil)), "another token of somebody", infra.EffectNone},
+		"append had no effect":      {startPeer(t, testOptions(1, none)), token, infra.EffectNone},
+		"append had unknown effect": {startPeer(t, testOptions(1, unknown)), token, infra.EffectUnknown},
+		"connection refused":        {strings.TrimPrefix(closed.URL, "http://"), token, infra.EffectUnknown},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/peer/server.go
+++ b/peer/server.go
@@ -1,3 +1,7 @@
+// Package peer implements the API that entry instances provide to one another over
+// twirp. Handler serves the API of an instance, Client calls the API of other
+// instances, and StateFetcher fetches the newest state of a stream from several of
+// them.
 package peer
 
 import (
@@ -17,13 +21,14 @@
 )
 
 const (
-	// TokenHeader bears the peers' token.
+	// TokenHeader is the header with the token that all peers share.
 	TokenHeader = "Greengageferry-Peer-Token"
-	// maxRequestBytes bounds a request: a batch of some thousands of claims.
+	// maxRequestBytes limits a request body. A batch of several thousand claims
+	// fits.
 	maxRequestBytes = 1 << 20
 )
 
-// Answer is an answer to a claimed request as its instance kept it.
+// Answer is the stored answer to a claimed request.
 type Answer struct {
 	Request       string
 	Status        int
@@ -33,38 +38,43 @@
 	Server        string
 }
 
-// ClaimServer puts claims on the log; the shard's batcher implements it.
+// ClaimServer appends claims to the log. The shard's batcher implements it.
 type ClaimServer interface {
 	Claim(ctx context.Context, shard uint32, claims [][]byte) ([]*ClaimStanding, error)
 }
 
-// Backend is what an instance lets its peers ask.
+// HandlerOptions provides the data and functions of an instance that Handler serves
+// to its peers.
 type HandlerOptions struct {
 	Instance string
-	// State returns the replayed state of a stream, or nil for one that this
-	// instance doesn't know.
+	// State returns the replayed state of a stream, or nil if this instance has
+	// none.
 	State func(stream string) *record.Checkpoint
-	// Applied returns how far the own failure domain's control stream was read
-	// with no order of an older assignment under way, 0 if that isn't known.
+	// Applied returns the offset up to which the control stream of the
+	// instance's failure domain was read, with no order of an older assignment
+	// still in progress. It returns 0 if the offset isn't known.
 	Applied func() infra.Offset
 	Claims  ClaimServer
-	// Answer returns what was answered to an attempt that runs here or ran.
+	// Answer returns the answer to an attempt that runs or ran on this instance.
 	Answer func(attempt string) (answer Answer, finished, found bool)
-	// Report returns what this instance knows of what a failure domain was asked
-	// for and of its servers' loads.
+	// Report returns the demand for a failure domain through this instance and
+	// the known loads of the domain's servers.
 	Report func(domain string) demand.Report
-	// Missing is told of a server that lacks what it should hold.
+	// Missing is called for a backend server that lacks models or adapters
+	// assigned to it.
 	Missing       func(server string)
 	FailureDomain string
 }
 
-// Handler serves the peers' address: twirp behind the token.
+// Handler returns the handler of the peer API. It serves twirp calls that carry the
+// token.
 func Handler(b HandlerOptions, token string, counters *traffic.Counters) http.Handler {
 	return requireToken(token, traffic.Handler(limitBody(NewPeerServer(&service{b})), counters))
 }
 
-// requireToken refuses a request without the peers' token. The digests are
-// compared, so that neither the token's length nor its bytes show in the time.
+// requireToken rejects requests without the token. It compares digests in constant
+// time, so that the response time reveals neither the length nor the bytes of the
+// token.
 func requireToken(token string, next http.Handler) http.Handler {
 	want := sha256.Sum256([]byte(token))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -77,6 +87,7 @@
 	})
 }
 
+// limitBody limits request bodies to maxRequestBytes.
 func limitBody(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxRequestBytes)
@@ -117,7 +128,8 @@
 	return &ClaimResponse{Standings: standings}, nil
 }
 
-// claimError tells the asking instance whether its claims can be on the log.
+// claimError returns the error from which the calling instance learns whether its
+// claims may be on the log.
 func claimError(err error) error {
 	var failed *infra.Error
 	if errors.As(err, &failed) && failed.Effect == infra.EffectNone {
--- a/peer/states.go
+++ b/peer/states.go
@@ -12,40 +12,41 @@
 	"greengageferry/record"
 )
 
-// AskedForState is how many peers a newcomer asks for their state: enough that
-// one of them is not behind, few enough that a failure domain of 41 instances
-// which starts together doesn't send each state 1,600 times.
+// MaxStatePeers is the number of peers that an instance asks for the state of a
+// stream. It is high enough that one of them is up to date, and low enough that a
+// failure domain of 41 instances that start together doesn't send each state 1,600
+// times.
 const MaxStatePeers = 3
 
-// States asks several peers for a stream's state and takes the newest. It
+// StateFetcher fetches a stream's state from several peers and selects the newest. It
 // implements logsync.StateSource.
 type StateFetcher struct {
 	client *Client
-	// addrs returns the addresses of the peers to choose from.
+	// addrs returns the addresses of the peers to choose from, in a new slice.
 	addrs func() []string
 }
 
-// NewStates returns a source over the peers that addrs names at the time.
+// NewStateFetcher returns a fetcher that calls addrs for each fetch.
 func NewStateFetcher(client *Client, addrs func() []string) *StateFetcher {
 	return &StateFetcher{client: client, addrs: addrs}
 }
 
-// NoPeerError says that no peer gave a state.
+// NoPeerError reports that no peer provided a state.
 type NoPeerError struct {
 	Stream string
-	Asked  int
-	Err    error // of one of them; nil where none was asked
+	Asked  int   // number of peers that were asked
+	Err    error // the error of one of the peers; nil if none was asked
 }
 
 // Error implements error.
 func (e *NoPeerError) Error() string {
-	return fmt.Sprintf("none of %d peers gave the state of %s: %v", e.Asked, e.Stream, e.Err)
+	return fmt.Sprintf("none of %d peers provided the state of stream %s: %v", e.Asked, e.Stream, e.Err)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns the error of one of the peers.
 func (e *NoPeerError) Unwrap() error { return e.Err }
 
-// State implements logsync.StateSource. The error is a *NoPeerError.
+// State implements logsync.StateSource. Its errors are of type *NoPeerError.
 func (s *StateFetcher) State(ctx context.Context, stream string, atLeast infra.Offset) (*record.Checkpoint, error) {
 	addrs := s.addrs()
 	rand.Shuffle(len(addrs), func(a, b int) { addrs[a], addrs[b] = addrs[b], addrs[a] })
@@ -69,7 +70,7 @@
 			return nil
 		})
 	}
-	_ = group.Wait() // the failures are in failure
+	_ = group.Wait() // errors are stored in failure
 	if newest == nil {
 		return nil, failure
 	}
--- a/rendezvous/rendezvous.go
+++ b/rendezvous/rendezvous.go
@@ -1,11 +1,13 @@
-// Package rendezvous ranks instances for a duty by hashing, so that instances
-// which list the same members agree on who does it without asking one another,
-// and a member that comes or goes moves only its own duties.
+// Package rendezvous assigns keys to instances by rendezvous hashing (highest random
+// weight). Instances with the same list of members agree on the leader of a key
+// without communication, and a member that joins or leaves changes the leader only
+// for the keys that this member leads.
 package rendezvous
 
 import "github.com/cespare/xxhash/v2"
 
-// Leader returns the member that ranks first for the key, or "" of none.
+// Leader returns the member that ranks first for the key, or "" if there are no
+// members.
 func Leader(key string, members []string) string {
 	leader := ""
 	best := uint64(0)
@@ -17,8 +19,8 @@
 	return leader
 }
 
-// Rank returns how many of the members rank before self, which need not be
-// among them.
+// Rank returns the number of members that rank before self for the key. self need
+// not be a member.
 func Rank(key string, members []string, self string) int {
 	own := score(key, self)
 	rank := 0
@@ -30,11 +32,13 @@
 	return rank
 }
 
-// before orders by score, then by name so that no two members tie.
+// ranksBefore reports whether member m with score s ranks before member n with
+// score t. Names break ties of equal scores.
 func ranksBefore(s uint64, m string, t uint64, n string) bool {
 	return s > t || s == t && m < n
 }
 
+// score returns the hash of the key and the member. A zero byte separates the two.
 func score(key, member string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -40,7 +40,8 @@
 	}
 }
 
-// BenchmarkLeader: what it costs to know who leads one shard, by the members.
+// BenchmarkLeader measures how long it takes to find the leader of one shard, by
+// number of members.
 func BenchmarkLeader(b *testing.B) {
 	for _, n := range []int{41, 185, 370} {
 		members := make([]string, n)
--- a/traffic/traffic.go
+++ b/traffic/traffic.go
@@ -1,5 +1,6 @@
-// Package traffic counts the bytes and messages of an instance's control
-// traffic, by call, where they are sent and received.
+// Package traffic counts the bytes and messages of an instance's control traffic by
+// call. Transport counts at the client and Handler at the server; both add to
+// Counters.
 package traffic
 
 import (
@@ -11,33 +12,32 @@
 
 // Counters are four expvar counters for each call: "<call>.sent_bytes",
 // "<call>.sent_messages", "<call>.received_bytes" and
-// "<call>.received_messages". Bytes are those of bodies: headers, which HTTP
-// libraries write, are not in them.
+// "<call>.received_messages". Bytes are those of bodies, without headers, which the
+// HTTP library writes.
 type Counters struct {
 	vars *expvar.Map
 }
 
-// NewCounters returns counters that are kept in vars.
+// NewCounters returns counters that are stored in vars.
 func NewCounters(vars *expvar.Map) *Counters { return &Counters{vars: vars} }
 
-// Sent counts one message that left.
+// CountSent counts one sent message of the given size.
 func (c *Counters) CountSent(call string, bytes int64) {
 	c.vars.Add(call+".sent_bytes", bytes)
 	c.vars.Add(call+".sent_messages", 1)
 }
 
-// Received counts one message that came.
+// CountReceived counts one received message of the given size.
 func (c *Counters) CountReceived(call string, bytes int64) {
 	c.vars.Add(call+".received_bytes", bytes)
 	c.vars.Add(call+".received_messages", 1)
 }
 
-// Transport counts a client's requests and answers. Call names a request; by
-// default it is the last part of its path.
+// Transport is an http.RoundTripper that counts a client's requests and responses.
 type Transport struct {
 	Base     http.RoundTripper // nil: http.DefaultTransport
 	Counters *Counters
-	CallName func(*http.Request) string
+	CallName func(*http.Request) string // nil: the last element of the request's path
 }
 
 // RoundTrip implements http.RoundTripper.
@@ -59,7 +59,7 @@
 	return resp, nil
 }
 
-// Handler counts a server's requests and answers by the last part of the path.
+// Handler counts a server's requests and responses by the last element of the path.
 func Handler(next http.Handler, c *Counters) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		call := path.Base(r.URL.Path)
@@ -71,7 +71,7 @@
 	})
 }
 
-// countedBody reports its length once, when it is closed.
+// countingBody calls onClose with the number of bytes read, once, when it is closed.
 type countingBody struct {
 	io.ReadCloser
 	bytes   int64
@@ -92,6 +92,7 @@
 	return b.ReadCloser.Close()
 }
 
+// countingWriter counts the bytes of a response body.
 type countingWriter struct {
 	http.ResponseWriter
 	bytes int64
