--- a/logsync/errors.go
+++ b/logsync/errors.go
@@ -16,7 +16,7 @@
 
 // Error implements error.
 func (e *BehindError) Error() string {
-	return fmt.Sprintf("stream %s: waiting for offset %d, last applied is %d: %v", e.Stream, e.Wanted, e.Offset, e.Err)
+	return fmt.Sprintf("stream %s: offset %d wanted, at %d: %v", e.Stream, e.Wanted, e.Offset, e.Err)
 }
 
 // Unwrap returns the reason why the wait ended.
