--- a/claims/shard.go
+++ b/claims/shard.go
@@ -130,13 +130,13 @@
 		writer: opts.Writer,
 		logger: logger,
 		follower: logsync.NewFollower(logsync.FollowerOptions[shardState]{
-			Log:        opts.Log,
-			Stream:     Stream(id),
-			New:        func(from infra.Offset) logsync.State[shardState] { return newShardState(from) },
-			FromOldest: true,
-			Spacing:    -1, // no delay between reads: a claim is answered only after its record was read
-			Logger:     logger,
-			Metrics:    opts.Metrics,
+			Log:          opts.Log,
+			Stream:       Stream(id),
+			New:          func(from infra.Offset) logsync.ViewMachine[shardState] { return newShardState(from) },
+			FromOldest:   true,
+			ReadInterval: -1, // no delay between reads: a claim is answered only after its record was read
+			Logger:       logger,
+			Metrics:      opts.Metrics,
 		}),
 	}
 }
--- a/control/core.go
+++ b/control/core.go
@@ -167,7 +167,7 @@
 		c.entryIDs = instanceIDs(in.list.Entries(c.domain))
 		c.engines = domainEngines(in.list, c.domain)
 		if _, listed := in.list.Get(c.self); listed {
-			c.listedAt = in.list.Read
+			c.listedAt = in.list.ReadAt
 		}
 	}
 	if changed && c.list != nil {
@@ -195,7 +195,7 @@
 			continue
 		}
 		if s.unlistedSince.IsZero() {
-			s.unlistedSince = c.list.Read
+			s.unlistedSince = c.list.ReadAt
 		}
 		if c.view != nil && c.view.Servers[id] == nil {
 			delete(c.servers, id)
@@ -220,7 +220,7 @@
 		if _, listed := c.list.Get(instance); listed {
 			delete(c.unlistedSince, instance)
 		} else if _, known := c.unlistedSince[instance]; !known {
-			c.unlistedSince[instance] = c.list.Read
+			c.unlistedSince[instance] = c.list.ReadAt
 		}
 	}
 }
--- a/control/holder.go
+++ b/control/holder.go
@@ -158,7 +158,7 @@
 // dropped first, and the server itself only once no earlier order is in flight,
 // because an order could still load an item if the server came back.
 func (c *core) goneServerRecord(now time.Time, s *server, want *replay.Server) *record.Record {
-	unlisted := !s.unlistedSince.IsZero() && c.list.Read.Sub(s.unlistedSince) >= c.limits.ServerGoneAfter
+	unlisted := !s.unlistedSince.IsZero() && c.list.ReadAt.Sub(s.unlistedSince) >= c.limits.ServerGoneAfter
 	if !unlisted || s.addr != "" && s.silentFor(now) < c.limits.UnreachableAfter {
 		return nil
 	}
@@ -182,7 +182,7 @@
 func (c *core) leaveRecords(now time.Time) []*record.Record {
 	var out []*record.Record
 	for _, instance := range sortedKeys(c.unlistedSince) {
-		if instance == c.self || c.list.Read.Sub(c.unlistedSince[instance]) < c.limits.OrdererGoneAfter {
+		if instance == c.self || c.list.ReadAt.Sub(c.unlistedSince[instance]) < c.limits.OrdererGoneAfter {
 			continue
 		}
 		c.logOrdererGone(instance, now)
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRanksArePermutationAndLeaderIsFirst(t *testing.T) {
+func TestRanksAreAPermutationLedByTheLeader(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	for k := range 50 {
 		key := fmt.Sprint(k)
@@ -24,7 +24,7 @@
 	require.Empty(t, Leader("x", nil))
 }
 
-func TestAMemberThatLeavesMovesOnlyItsOwn(t *testing.T) {
+func TestRemovedMemberMovesOnlyItsKeys(t *testing.T) {
 	members := []string{"a", "b", "c", "d", "e"}
 	led := map[string]int{}
 	for k := range 1000 {
@@ -40,7 +40,8 @@
 	}
 }
 
-// BenchmarkLeader: what it costs to know who leads one shard, by the members.
+// BenchmarkLeader measures how long it takes to find the leader of one shard, by
+// number of members.
 func BenchmarkLeader(b *testing.B) {
 	for _, n := range []int{41, 185, 370} {
 		members := make([]string, n)
