--- a/cmd/greengageferry/check.go
+++ b/cmd/greengageferry/check.go
@@ -48,9 +48,9 @@
 // buildFolder builds the configuration of the shared folder, or of one
 // partner's.
 func buildFolder(dir, partner string) (*config.Config, config.Provenance, error) {
-	files, err := config.ReadShared(dir)
+	files, err := config.ReadSharedDir(dir)
 	if partner != "" {
-		files, err = config.ReadPartner(dir, partner)
+		files, err = config.ReadPartnerDir(dir, partner)
 	}
 	if err != nil {
 		return nil, nil, err
@@ -60,7 +60,7 @@
 
 // configFailed prints the error and returns its exit code.
 func configFailed(command string, err error) subcommands.ExitStatus {
-	var refusal *config.Refusal
+	var refusal *config.ValidationError
 	if errors.As(err, &refusal) {
 		fmt.Fprintln(os.Stderr, "refused:", refusal)
 		return exitRefused
--- a/cmd/greengageferry/explain.go
+++ b/cmd/greengageferry/explain.go
@@ -63,20 +63,20 @@
 	return subcommands.ExitSuccess
 }
 
-func (c *explainCommand) explain(ctx context.Context, dir string) (config.Explained, error) {
+func (c *explainCommand) explain(ctx context.Context, dir string) (config.Explanation, error) {
 	if c.url != "" {
-		var explained config.Explained
+		var explained config.Explanation
 		err := askOperators(ctx, c.url, entry.PathExplain, &explained)
 		return explained, err
 	}
 	built, from, err := buildFolder(dir, c.partner)
 	if err != nil {
-		return config.Explained{}, err
+		return config.Explanation{}, err
 	}
 	return config.Explain(built, from), nil
 }
 
-func (c *explainCommand) print(explained config.Explained, prefix string) error {
+func (c *explainCommand) print(explained config.Explanation, prefix string) error {
 	kept := explained.Settings[:0]
 	for _, s := range explained.Settings {
 		if strings.HasPrefix(s.Key, prefix) {
--- a/config/capacity.go
+++ b/config/capacity.go
@@ -6,44 +6,45 @@
 	"strconv"
 )
 
-// part is the servers of a pool that its owner keeps, or those that it lends.
-// A pool's lent part is counted in whole servers, rounded down, and the
-// owner's part as what is then left, rounded down too.
-type part struct {
-	servers []*bin // opened so far
-	room    int    // servers not opened yet
-	memory  int64
+// partition is either the servers of a pool that are reserved for its owner or
+// those that it lends. The lent partition is counted in whole servers, rounded
+// down; the owner's is the remainder, also rounded down.
+type partition struct {
+	bins      []*bin // servers in use by the packing
+	unopened  int    // number of servers not in use yet
+	serverMiB int64
 }
 
-// bin is one server that the packing fills.
+// bin is one server in the packing.
 type bin struct {
-	free   int64
-	models map[string]bool
+	freeMiB int64
+	models  map[string]bool
 }
 
-// checkCapacity makes sure of each partner's guaranteed share: one replica of
-// every model and adapter fits into the partner's own parts and the parts that
-// the others lend it. The packing is first-fit decreasing: what it accepts
-// fits for certain; near the limit it may refuse what another packing fits.
-func (g *merger) checkCapacity(c *Config) *Refusal {
-	own, lent := parts(c)
+// checkCapacity verifies each partner's guaranteed share: one replica of every
+// model and adapter must fit into the partner's own partitions and those lent by
+// others. It packs by first-fit decreasing. A configuration that passes
+// certainly fits; near the limit, one that another packing could fit may fail.
+func (g *merger) checkCapacity(c *Config) *ValidationError {
+	own, lent := partitionPools(c)
 	adapters := adaptersByModel(c)
 	names := modelsBySize(c)
 	for _, name := range names {
 		m := c.Models[name]
 		if !placeModel(m, name, own, lent, c) {
-			return g.refuseCapacity(Key{kindModels, name, "mib"}, m, c)
+			return g.capacityError(Key{kindModels, name, "mib"}, m, c)
 		}
 		for _, a := range adapters[name] {
 			if !placeAdapter(m, name, c.Adapters[a], own, lent, c) {
-				return g.refuseCapacity(Key{kindAdapters, a, "mib"}, m, c)
+				return g.capacityError(Key{kindAdapters, a, "mib"}, m, c)
 			}
 		}
 	}
 	return nil
 }
 
-func (g *merger) refuseCapacity(key Key, m Model, c *Config) *Refusal {
+// capacityError names the settings that could have caused the lack of capacity.
+func (g *merger) capacityError(key Key, m Model, c *Config) *ValidationError {
 	keys := []Key{key, {kindModels, key.Name, "pools"}}
 	for _, p := range m.Pools {
 		if c.Pools[p].Owner != m.Owner {
@@ -56,24 +57,26 @@
 	if len(m.Pools) > 1 {
 		reason += " and others"
 	}
-	return g.refuse(reason+")", keys...)
+	return g.errorAt(reason+")", keys...)
 }
 
-func parts(c *Config) (own, lent map[string]*part) {
-	own = make(map[string]*part, len(c.Pools))
-	lent = make(map[string]*part, len(c.Pools))
+// partitionPools returns each pool's own and lent partitions, by pool name.
+func partitionPools(c *Config) (own, lent map[string]*partition) {
+	own = make(map[string]*partition, len(c.Pools))
+	lent = make(map[string]*partition, len(c.Pools))
 	for name, p := range c.Pools {
 		lendable := float64(p.Servers) * p.Lent
-		lent[name] = &part{room: int(lendable), memory: p.MemoryMiB}
+		lent[name] = &partition{unopened: int(lendable), serverMiB: p.MemoryMiB}
 		kept := p.Servers - int(lendable)
 		if float64(int(lendable)) < lendable {
 			kept--
 		}
-		own[name] = &part{room: kept, memory: p.MemoryMiB}
+		own[name] = &partition{unopened: kept, serverMiB: p.MemoryMiB}
 	}
 	return own, lent
 }
 
+// adaptersByModel returns the names of each model's adapters, largest first.
 func adaptersByModel(c *Config) map[string][]string {
 	out := map[string][]string{}
 	for name, a := range sorted(c.Adapters) {
@@ -85,6 +88,7 @@
 	return out
 }
 
+// modelsBySize returns the names of the models, largest first.
 func modelsBySize(c *Config) []string {
 	names := make([]string, 0, len(c.Models))
 	for name := range sorted(c.Models) {
@@ -94,17 +98,19 @@
 	return names
 }
 
-func partOf(m Model, pool string, own, lent map[string]*part, c *Config) *part {
+// partitionFor returns the partition of a pool that the model's owner may use.
+func partitionFor(m Model, pool string, own, lent map[string]*partition, c *Config) *partition {
 	if c.Pools[pool].Owner == m.Owner {
 		return own[pool]
 	}
 	return lent[pool]
 }
 
-// placeModel puts one replica into the first of the model's pools with room.
-func placeModel(m Model, name string, own, lent map[string]*part, c *Config) bool {
+// placeModel places one replica in the first of the model's pools with enough
+// memory. It returns false if none has.
+func placeModel(m Model, name string, own, lent map[string]*partition, c *Config) bool {
 	for _, pool := range m.Pools {
-		if s := partOf(m, pool, own, lent, c).take(m.MiB); s != nil {
+		if s := partitionFor(m, pool, own, lent, c).reserve(m.MiB); s != nil {
 			s.models[name] = true
 			return true
 		}
@@ -112,19 +118,19 @@
 	return false
 }
 
-// placeAdapter puts an adapter beside a replica of its model, or beside a new
-// replica where no present one has room.
-func placeAdapter(m Model, name string, a Adapter, own, lent map[string]*part, c *Config) bool {
+// placeAdapter places an adapter on a server that already holds its model or, if
+// none has enough memory, on another server together with a new replica.
+func placeAdapter(m Model, name string, a Adapter, own, lent map[string]*partition, c *Config) bool {
 	for _, pool := range m.Pools {
-		for _, s := range partOf(m, pool, own, lent, c).servers {
-			if s.models[name] && s.free >= a.MiB {
-				s.free -= a.MiB
+		for _, s := range partitionFor(m, pool, own, lent, c).bins {
+			if s.models[name] && s.freeMiB >= a.MiB {
+				s.freeMiB -= a.MiB
 				return true
 			}
 		}
 	}
 	for _, pool := range m.Pools {
-		if s := partOf(m, pool, own, lent, c).take(m.MiB + a.MiB); s != nil {
+		if s := partitionFor(m, pool, own, lent, c).reserve(m.MiB + a.MiB); s != nil {
 			s.models[name] = true
 			return true
 		}
@@ -132,19 +138,20 @@
 	return false
 }
 
-// take reserves memory on the first server with room and returns it, or nil.
-func (p *part) take(mib int64) *bin {
-	for _, s := range p.servers {
-		if s.free >= mib {
-			s.free -= mib
+// reserve reserves memory on the first server with enough of it and returns that
+// server, or nil if there is none.
+func (p *partition) reserve(mib int64) *bin {
+	for _, s := range p.bins {
+		if s.freeMiB >= mib {
+			s.freeMiB -= mib
 			return s
 		}
 	}
-	if p.room == 0 || mib > p.memory {
+	if p.unopened == 0 || mib > p.serverMiB {
 		return nil
 	}
-	p.room--
-	s := &bin{free: p.memory - mib, models: map[string]bool{}}
-	p.servers = append(p.servers, s)
+	p.unopened--
+	s := &bin{freeMiB: p.serverMiB - mib, models: map[string]bool{}}
+	p.bins = append(p.bins, s)
 	return s
 }
--- a/config/dir.go
+++ b/config/dir.go
@@ -8,9 +8,9 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ReadPartner reads one partner's folder: each file in it whose name ends in
-// FileSuffix. Other files are left alone.
-func ReadPartner(dir, partner string) ([]File, error) {
+// ReadPartnerDir reads the configuration files in one partner's folder: regular
+// files that end in FileSuffix and don't begin with a dot.
+func ReadPartnerDir(dir, partner string) ([]File, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "reading the folder of partner "+partner)
@@ -29,9 +29,10 @@
 	return files, nil
 }
 
-// ReadShared reads the shared folder, in which each partner's folder bears the
-// partner's name. Two files of one name are a *Refusal.
-func ReadShared(dir string) ([]File, error) {
+// ReadSharedDir reads a folder that has one subfolder for each partner, named
+// after the partner. If two partners have a file of the same name, the error is
+// a *ValidationError.
+func ReadSharedDir(dir string) ([]File, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, errors.Wrap(err, "reading the shared folder")
@@ -42,13 +43,13 @@
 		if !e.IsDir() || strings.HasPrefix(e.Name(), ".") {
 			continue
 		}
-		own, err := ReadPartner(filepath.Join(dir, e.Name()), e.Name())
+		own, err := ReadPartnerDir(filepath.Join(dir, e.Name()), e.Name())
 		if err != nil {
 			return nil, err
 		}
 		for _, f := range own {
 			if other, taken := seen[f.Name]; taken {
-				return nil, &Refusal{File: f.Name, Reason: "partners " + other + " and " + f.Partner + " both have a file of this name"}
+				return nil, &ValidationError{File: f.Name, Reason: "partners " + other + " and " + f.Partner + " both have a file of this name"}
 			}
 			seen[f.Name] = f.Partner
 		}
--- a/config/explain.go
+++ b/config/explain.go
@@ -7,15 +7,15 @@
 	"slices"
 )
 
-// Explained is a whole configuration with where each value is from. It is the
-// JSON that the operators' address serves.
-type Explained struct {
-	Offset   uint64             `json:"offset,omitempty"` // of the verdict that last changed what is in force; 0 offline
-	Settings []ExplainedSetting `json:"settings"`         // by key
+// Explanation lists every setting of a configuration with its source. Instances
+// serve it as JSON on the operators' address.
+type Explanation struct {
+	Offset   uint64             `json:"offset,omitempty"` // log offset of the verdict that last changed the configuration; 0 if built from a folder
+	Settings []ExplainedSetting `json:"settings"`         // sorted by key
 }
 
-// ExplainedSetting is one setting's value and its source. One that no file sets
-// has its default, and no source.
+// ExplainedSetting is one setting's value and its source. A setting that no file
+// sets has its default value and no source.
 type ExplainedSetting struct {
 	Key     string          `json:"key"` // as in models.tray-planner.mib
 	Value   json.RawMessage `json:"value"`
@@ -23,12 +23,12 @@
 	File    string          `json:"file,omitempty"`
 	Partner string          `json:"partner,omitempty"`
 	Author  string          `json:"author,omitempty"`
-	Offset  uint64          `json:"offset,omitempty"` // of the file's version on the config stream
+	Offset  uint64          `json:"offset,omitempty"` // log offset of the file's version on the config stream
 }
 
-// Explain lists every setting of a configuration.
-func Explain(c *Config, from Provenance) Explained {
-	var out Explained
+// Explain returns every setting of a configuration with its source.
+func Explain(c *Config, from Provenance) Explanation {
+	var out Explanation
 	fields := reflect.ValueOf(c).Elem()
 	for name, k := range schema {
 		tables := fields.Field(k.field).MapRange()
@@ -41,7 +41,8 @@
 	return out
 }
 
-func explainTable(table Key, k kind, value reflect.Value, from Provenance) []ExplainedSetting {
+// explainTable returns every setting of one table with its source.
+func explainTable(table Key, k tableKind, value reflect.Value, from Provenance) []ExplainedSetting {
 	out := make([]ExplainedSetting, 0, len(k.settings))
 	for setting, index := range k.settings {
 		key := Key{Kind: table.Kind, Name: table.Name, Setting: setting}
@@ -59,13 +60,13 @@
 	return out
 }
 
-// encodeValue writes a setting's value as JSON. An array without entries is [].
+// encodeValue returns a setting's value as JSON. An empty array is [], not null.
 func encodeValue(v reflect.Value) json.RawMessage {
 	if v.Kind() == reflect.Slice && v.Len() == 0 {
 		return json.RawMessage("[]")
 	}
 	data, err := json.Marshal(v.Interface())
-	if err != nil { // only for numbers that JSON lacks, which the rules refuse
+	if err != nil { // only for numbers that JSON can't represent, which validation rejects
 		return json.RawMessage("null")
 	}
 	return data
--- a/config/file.go
+++ b/config/file.go
@@ -2,29 +2,29 @@
 
 import "fmt"
 
-// MaxFileBytes bounds one file's content: hundreds of models fit in it many
-// times over, and a record on the log stays well below a megabyte.
+// MaxFileBytes is the maximum size of one file, in bytes. It is several times
+// what hundreds of models need, and keeps a file's log record well below 1 MB.
 const MaxFileBytes = 256 << 10
 
 // File is one version of a partner's file.
 type File struct {
-	Name    string // without a directory; files are merged in the order of their names
-	Partner string // whose folder it is in
-	Author  string
+	Name    string // base name; files are merged in the order of their names
+	Partner string // partner that owns the file
+	Author  string // who published this version
 	Content []byte // TOML
-	Removed bool   // it was removed: it falls out of the merge
-	Offset  uint64 // of its change on the config stream; 0 offline
+	Removed bool   // the file was removed and is not merged
+	Offset  uint64 // log offset of this version on the config stream; 0 if read from a folder
 }
 
-// Key names a setting, such as models.tray-planner.mib. Setting is empty for
-// the whole table, Name and Setting for a kind of tables.
+// Key identifies a setting, such as models.tray-planner.mib. For a whole table
+// Setting is empty; for all tables of a kind Name is empty too.
 type Key struct {
-	Kind    string // partners, pools, models, adapters, services or callers
+	Kind    string // partners, pools, models, adapters, services, callers or lifts
 	Name    string
 	Setting string
 }
 
-// String returns the key in dotted form; it is empty for the zero key.
+// String returns the key in dotted form, and "" for the zero key.
 func (k Key) String() string {
 	switch {
 	case k.Name == "":
@@ -35,17 +35,17 @@
 	return k.Kind + "." + k.Name + "." + k.Setting
 }
 
-// Refusal says why files are not a valid configuration. It is the only error
-// that Build returns.
-type Refusal struct {
+// ValidationError says why files are not a valid configuration. Build returns no
+// other kind of error.
+type ValidationError struct {
 	File   string
-	Line   int // 0: the reason has no line
-	Key    Key // zero: the reason has no key
+	Line   int // from 1; 0 if unknown
+	Key    Key // zero if the reason concerns no single key
 	Reason string
 }
 
 // Error implements error.
-func (r *Refusal) Error() string {
+func (r *ValidationError) Error() string {
 	at := r.File
 	if r.Line > 0 {
 		at = fmt.Sprintf("%s:%d", r.File, r.Line)
--- a/config/judge.go
+++ b/config/judge.go
@@ -8,33 +8,34 @@
 	"greengageferry/record"
 )
 
-// FileSuffix ends the name of every configuration file.
+// FileSuffix is the suffix of every configuration file's name.
 const FileSuffix = ".toml"
 
-// Judge says whether a change may come into force after the versions that are
-// in force at its place on the log. It is a pure function of its arguments.
-// Judge doesn't set the verdict's Change, which is the change's own offset, nor
-// its Program.
+// Judge decides whether a change is accepted, given the file versions in
+// force at the change's position on the log. It is a pure function of its
+// arguments, so instances that run the same program reach the same verdict. The
+// caller sets the verdict's Change, which is the change's offset, and its Program.
 func Judge(inForce []File, change *record.ConfigChange) *record.ConfigVerdict {
 	return NewBuilder().Judge(inForce, change)
 }
 
-// Judge does what the function Judge does.
+// Judge is like the function Judge, but reuses parsed files.
 func (b *Builder) Judge(inForce []File, change *record.ConfigChange) *record.ConfigVerdict {
-	refusal := b.judge(inForce, change)
-	if refusal == nil {
+	invalid := b.checkChange(inForce, change)
+	if invalid == nil {
 		return &record.ConfigVerdict{Accepted: true, File: change.GetFile()}
 	}
-	reason := refusal.Reason
-	if refusal.Key.Kind != "" {
-		reason = refusal.Key.String() + ": " + reason
+	reason := invalid.Reason
+	if invalid.Key.Kind != "" {
+		reason = invalid.Key.String() + ": " + reason
 	}
-	return &record.ConfigVerdict{Reason: reason, File: refusal.File, Line: uint32(refusal.Line)}
+	return &record.ConfigVerdict{Reason: reason, File: invalid.File, Line: uint32(invalid.Line)}
 }
 
-func (b *Builder) judge(inForce []File, change *record.ConfigChange) *Refusal {
-	refuse := func(reason string) *Refusal { return &Refusal{File: change.GetFile(), Reason: reason} }
-	if reason := badFileName(change.GetFile()); reason != "" {
+// checkChange returns why a change is rejected, or nil.
+func (b *Builder) checkChange(inForce []File, change *record.ConfigChange) *ValidationError {
+	refuse := func(reason string) *ValidationError { return &ValidationError{File: change.GetFile(), Reason: reason} }
+	if reason := fileNameProblem(change.GetFile()); reason != "" {
 		return refuse(reason)
 	}
 	current, known := File{}, false
@@ -49,7 +50,7 @@
 	exists := known && !current.Removed
 	switch {
 	case current.Offset != change.GetBase():
-		return refuse(raceReason(current, change))
+		return refuse(conflictReason(current, change))
 	case exists && current.Partner != change.GetPartner():
 		return refuse("the file belongs to partner " + current.Partner)
 	case change.GetRemoved() && !exists:
@@ -62,15 +63,15 @@
 		Content: change.GetContent(),
 		Removed: change.GetRemoved(),
 	})
-	_, _, err := b.buildFor(files, change.GetFile())
-	var refusal *Refusal
-	errors.As(err, &refusal)
-	return refusal
+	_, _, err := b.buildChange(files, change.GetFile())
+	var invalid *ValidationError
+	errors.As(err, &invalid)
+	return invalid
 }
 
-// raceReason words a change whose base isn't the current version, which has
-// offset 0 if there never was one.
-func raceReason(current File, change *record.ConfigChange) string {
+// conflictReason returns the reason for rejecting a change whose base isn't the
+// current version. The current version's offset is 0 if the file never existed.
+func conflictReason(current File, change *record.ConfigChange) string {
 	edited := "it was edited from version " + strconv.FormatUint(change.GetBase(), 10)
 	if current.Offset == 0 {
 		return edited + ", which is not in force"
@@ -79,11 +80,12 @@
 		" is in force: take that in and publish again"
 }
 
-func badFileName(name string) string {
+// fileNameProblem returns what is wrong with a file's name, or "".
+func fileNameProblem(name string) string {
 	if !strings.HasSuffix(name, FileSuffix) || strings.HasPrefix(name, ".") || name == FileSuffix {
 		return "a file's name ends in " + FileSuffix + " and doesn't begin with a dot"
 	}
-	if reason := badName(Key{Kind: "file", Name: name}); reason != "" {
+	if reason := nameProblem(Key{Kind: "file", Name: name}); reason != "" {
 		return reason
 	}
 	return ""
--- a/config/lifts_test.go
+++ b/config/lifts_test.go
@@ -8,16 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestLifts(t *testing.T) {
+func TestQuarantineLifts(t *testing.T) {
 	fingerprint := strings.Repeat("ab", 32)
 	cases := map[string]struct {
 		text   string
 		reason string // empty: accepted
 	}{
-		"whole":            {"[lifts." + fingerprint + "]\nbefore = 2026-12-02T10:00:00Z\n", ""},
-		"no fingerprint":   {"[lifts.abc]\nbefore = 2026-12-02T10:00:00Z\n", "fingerprint"},
-		"for ever":         {"[lifts." + fingerprint + "]\n", "must be set"},
-		"not a point time": {"[lifts." + fingerprint + "]\nbefore = \"yesterday\"\n", "time"},
+		"whole":               {"[lifts." + fingerprint + "]\nbefore = 2026-12-02T10:00:00Z\n", ""},
+		"invalid fingerprint": {"[lifts.abc]\nbefore = 2026-12-02T10:00:00Z\n", "fingerprint"},
+		"no end time":         {"[lifts." + fingerprint + "]\n", "must be set"},
+		"time as a string":    {"[lifts." + fingerprint + "]\nbefore = \"yesterday\"\n", "time"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/config/main_test.go
+++ b/config/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// propertySeed makes the property tests draw the same cases every run.
+// propertySeed is the seed of the property tests, unless -rapid.seed is given.
 const propertySeed = "20260214"
 
 func TestMain(m *testing.M) {
--- a/config/parse.go
+++ b/config/parse.go
@@ -10,12 +10,12 @@
 	"github.com/BurntSushi/toml"
 )
 
-// parsed is what a file declares, as far as this program understands it.
-type parsed struct {
-	name   string
-	fault  *Refusal // the first thing that it doesn't understand, or nil
-	meta   toml.MetaData
-	tables []table // by kind, then name
+// parsedFile is the content of a file as far as this program understands it.
+type parsedFile struct {
+	name       string
+	firstError *ValidationError // or nil
+	meta       toml.MetaData
+	tables     []table // sorted by kind, then name
 }
 
 // table is one table of a file, such as [models.tray-planner].
@@ -25,25 +25,25 @@
 	settings []setting
 }
 
-// setting is one value of a table.
+// setting is one setting in a table.
 type setting struct {
 	key     Key
 	value   toml.Primitive
-	decoded reflect.Value // of the setting's type; shared between builds, never changed
+	decoded reflect.Value // value of the setting's Go type; shared between builds, never modified
 }
 
-// parse reads a file. A key that no setting bears, or a value of a wrong type,
-// is a fault.
-func parse(f File) *parsed {
-	p := &parsed{name: f.Name}
+// parse parses a file. Unknown keys and values of the wrong type are recorded as
+// errors; the rest of the file is still parsed.
+func parse(f File) *parsedFile {
+	p := &parsedFile{name: f.Name}
 	if len(f.Content) > MaxFileBytes {
-		p.fault = &Refusal{File: f.Name, Reason: "the file is larger than 256 KiB"}
+		p.firstError = &ValidationError{File: f.Name, Reason: "the file is larger than 256 KiB"}
 		return p
 	}
 	var kinds map[string]toml.Primitive
 	meta, err := toml.Decode(string(f.Content), &kinds)
 	if err != nil {
-		p.fault = syntaxRefusal(f, err)
+		p.firstError = syntaxError(f, err)
 		return p
 	}
 	p.meta = meta
@@ -53,22 +53,24 @@
 	return p
 }
 
-func syntaxRefusal(f File, err error) *Refusal {
+// syntaxError converts an error of the TOML decoder.
+func syntaxError(f File, err error) *ValidationError {
 	var syntax toml.ParseError
 	if errors.As(err, &syntax) {
-		return &Refusal{File: f.Name, Line: syntax.Position.Line, Reason: syntax.Message}
+		return &ValidationError{File: f.Name, Line: syntax.Position.Line, Reason: syntax.Message}
 	}
-	return &Refusal{File: f.Name, Reason: err.Error()}
+	return &ValidationError{File: f.Name, Reason: err.Error()}
 }
 
-func (p *parsed) readKind(kind string, value toml.Primitive) {
+// readKind parses all tables of one kind.
+func (p *parsedFile) readKind(kind string, value toml.Primitive) {
 	if _, known := schema[kind]; !known {
-		p.blame(Key{Kind: kind}, value, "unknown key; known are "+strings.Join(kindNames, ", "))
+		p.recordError(Key{Kind: kind}, value, "unknown key; known are "+strings.Join(kindNames, ", "))
 		return
 	}
 	names, ok := p.entries(value)
 	if !ok {
-		p.blame(Key{Kind: kind}, value, "must be a table of tables")
+		p.recordError(Key{Kind: kind}, value, "must be a table of tables")
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(names)) {
@@ -76,14 +78,15 @@
 	}
 }
 
-func (p *parsed) readTable(key Key, value toml.Primitive) {
-	if reason := badName(key); reason != "" {
-		p.blame(key, value, reason)
+// readTable parses one table.
+func (p *parsedFile) readTable(key Key, value toml.Primitive) {
+	if reason := nameProblem(key); reason != "" {
+		p.recordError(key, value, reason)
 		return
 	}
 	settings, ok := p.entries(value)
 	if !ok {
-		p.blame(key, value, "must be a table")
+		p.recordError(key, value, "must be a table")
 		return
 	}
 	t := table{key: key, value: value, settings: make([]setting, 0, len(settings))}
@@ -95,43 +98,46 @@
 	p.tables = append(p.tables, t)
 }
 
-func (p *parsed) readSetting(key Key, value toml.Primitive) (setting, bool) {
+// readSetting decodes one setting; it returns false if that fails.
+func (p *parsedFile) readSetting(key Key, value toml.Primitive) (setting, bool) {
 	k := schema[key.Kind]
 	index, known := k.settings[key.Setting]
 	if !known {
 		names := slices.Sorted(maps.Keys(k.settings))
-		p.blame(key, value, "unknown key; known are "+strings.Join(names, ", "))
+		p.recordError(key, value, "unknown key; known are "+strings.Join(names, ", "))
 		return setting{}, false
 	}
 	decoded := reflect.New(k.defaults.Type().Field(index).Type)
 	if err := p.meta.PrimitiveDecode(value, decoded.Interface()); err != nil {
-		p.blame(key, value, "must be "+typeName(decoded.Elem().Type()))
+		p.recordError(key, value, "must be "+typeName(decoded.Elem().Type()))
 		return setting{}, false
 	}
 	return setting{key: key, value: value, decoded: decoded.Elem()}, true
 }
 
-// blame records the file's first fault.
-func (p *parsed) blame(key Key, value toml.Primitive, reason string) {
-	if p.fault == nil {
-		p.fault = p.refuse(key, value, reason)
+// recordError keeps the file's first error.
+func (p *parsedFile) recordError(key Key, value toml.Primitive, reason string) {
+	if p.firstError == nil {
+		p.firstError = p.errorAt(key, value, reason)
 	}
 }
 
-// entries returns a table's values by name; ok is false for anything else.
-func (p *parsed) entries(value toml.Primitive) (entries map[string]toml.Primitive, ok bool) {
+// entries returns a table's values by key. It returns false if value isn't a
+// table.
+func (p *parsedFile) entries(value toml.Primitive) (entries map[string]toml.Primitive, ok bool) {
 	err := p.meta.PrimitiveDecode(value, &entries)
 	return entries, err == nil && entries != nil
 }
 
-func (p *parsed) refuse(key Key, value toml.Primitive, reason string) *Refusal {
-	return &Refusal{File: p.name, Line: p.line(value), Key: key, Reason: reason}
+// errorAt returns an error at the line of a value.
+func (p *parsedFile) errorAt(key Key, value toml.Primitive, reason string) *ValidationError {
+	return &ValidationError{File: p.name, Line: p.line(value), Key: key, Reason: reason}
 }
 
-// line returns the line of a value's key, or for a table without a header of
-// its own that of its first entry. The library gives positions with errors
-// only, so the value is decoded into something that fails.
-func (p *parsed) line(value toml.Primitive) int {
+// line returns the line of a value's key or, for a table without its own header,
+// the line of its first entry. The TOML library exposes positions only in
+// errors, so the value is decoded into a type whose decoding always fails.
+func (p *parsedFile) line(value toml.Primitive) int {
 	var at toml.ParseError
 	if err := p.meta.PrimitiveDecode(value, &lineProbe{}); errors.As(err, &at) && at.Position.Line > 0 {
 		return at.Position.Line
@@ -146,18 +152,21 @@
 	return first
 }
 
+// lineProbe is a type that can't be decoded.
 type lineProbe struct{}
 
 // UnmarshalTOML always fails.
-func (*lineProbe) UnmarshalTOML(any) error { return &Refusal{} }
+func (*lineProbe) UnmarshalTOML(any) error { return &ValidationError{} }
 
-// maxNameBytes keeps names printable in one log line.
+// maxNameBytes bounds names so that they fit into a log line.
 const maxNameBytes = 128
 
-// nameChars are safe in URLs, log lines and stream names without quoting.
+// nameChars are the characters that need no quoting in URLs, log lines and stream
+// names.
 const nameChars = "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789-_.:"
 
-func badName(key Key) string {
+// nameProblem returns what is wrong with the key's Name, or "".
+func nameProblem(key Key) string {
 	allowed := nameChars
 	if key.Kind == kindModels || key.Kind == kindAdapters {
 		allowed += "/"
--- a/config/property_test.go
+++ b/config/property_test.go
@@ -11,8 +11,9 @@
 	"greengageferry/record"
 )
 
-// drawFile draws a small file of tables that may hit, miss or clash.
-func drawFile(t *rapid.T) string {
+// drawContent draws a small file whose tables may be valid, refer to missing tables
+// or conflict with other files.
+func drawContent(t *rapid.T) string {
 	var out strings.Builder
 	tables := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{
 		"partners.kitchen", "partners.heritage", "pools.p", "pools.q", "models.a", "models.b", "models.c", "adapters.x", "services.s",
@@ -36,7 +37,7 @@
 	return out.String()
 }
 
-// ownedBy returns what the partner declares, and its weight.
+// ownedBy returns the partner's weights and its pools, models and adapters.
 func ownedBy(c *Config, partner string) map[string]any {
 	out := map[string]any{"partner": c.Partners[partner]}
 	for name, v := range c.Pools {
@@ -57,53 +58,54 @@
 	return out
 }
 
-// heldAndNeeded returns the memory of the partner's guaranteed parts and of one
-// replica of each of its models.
-func heldAndNeeded(c *Config, partner string) (held, needed int64) {
+// guaranteedAndRequired returns, in MiB, the memory that a partner is guaranteed
+// and the memory that one replica of each of its models requires.
+func guaranteedAndRequired(c *Config, partner string) (guaranteed, required int64) {
 	for _, p := range c.Pools {
 		servers := int64(float64(p.Servers) * p.Lent)
 		if p.Owner == partner {
 			servers = int64(float64(p.Servers) * (1 - p.Lent))
 		}
-		held += servers * p.MemoryMiB
+		guaranteed += servers * p.MemoryMiB
 	}
 	for _, m := range c.Models {
 		if m.Owner == partner {
-			needed += m.MiB
+			required += m.MiB
 		}
 	}
-	return held, needed
+	return guaranteed, required
 }
 
-// TestNoChangeBreaksTheOthers: whatever a partner sends, what was accepted stays
-// valid, what the other declares stays as it is, and both keep their share.
-func TestNoChangeBreaksTheOthers(t *testing.T) {
+// TestAcceptedChangesPreserveOtherPartners applies random changes of two partners.
+// Accepted changes must leave the configuration valid, must not alter what the
+// other partner declares, and must not take capacity that either partner needs.
+func TestAcceptedChangesPreserveOtherPartners(t *testing.T) {
 	accepted := 0
 	rapid.Check(t, func(t *rapid.T) {
-		force := map[string]File{}
+		current := map[string]File{}
 		builder := NewBuilder()
 		for offset := uint64(1); offset < 25; offset++ {
 			partner := rapid.SampledFrom([]string{"kitchen", "heritage"}).Draw(t, "partner")
 			file := rapid.SampledFrom([]string{"1.toml", "2.toml", "3.toml", "4.toml"}).Draw(t, "file")
 			change := &record.ConfigChange{
 				File: file, Partner: partner, Removed: rapid.IntRange(0, 9).Draw(t, "removed") == 0,
-				Content: []byte(drawFile(t)), Base: force[file].Offset,
+				Content: []byte(drawContent(t)), Base: current[file].Offset,
 			}
-			before := list(force)
-			old, _, err := builder.Build(before)
+			before := sortedFiles(current)
+			oldConfig, _, err := builder.Build(before)
 			require.NoError(t, err)
 			if !builder.Judge(before, change).GetAccepted() {
 				continue
 			}
 			accepted++
-			force[file] = File{Name: file, Partner: partner, Content: change.Content, Removed: change.Removed, Offset: offset}
-			now, _, err := builder.Build(list(force))
+			current[file] = File{Name: file, Partner: partner, Content: change.Content, Removed: change.Removed, Offset: offset}
+			newConfig, _, err := builder.Build(sortedFiles(current))
 			require.NoError(t, err)
 			for _, p := range []string{"kitchen", "heritage"} {
-				held, needed := heldAndNeeded(now, p)
-				require.LessOrEqual(t, needed, held, p)
+				guaranteed, required := guaranteedAndRequired(newConfig, p)
+				require.LessOrEqual(t, required, guaranteed, p)
 				if p != partner {
-					require.Equal(t, ownedBy(old, p), ownedBy(now, p))
+					require.Equal(t, ownedBy(oldConfig, p), ownedBy(newConfig, p))
 				}
 			}
 		}
@@ -111,15 +113,16 @@
 	require.Greater(t, accepted, 50)
 }
 
-func list(force map[string]File) []File {
+// sortedFiles returns a map's files in the order of their names.
+func sortedFiles(current map[string]File) []File {
 	var out []File
-	for _, f := range sorted(force) {
+	for _, f := range sorted(current) {
 		out = append(out, f)
 	}
 	return out
 }
 
-// FuzzBuild: no file brings the program down, and a refusal names the file.
+// FuzzBuild checks that no content makes Build panic and that errors name the file.
 func FuzzBuild(f *testing.F) {
 	f.Add(kitchenBase)
 	f.Add("[models.x]\nmib = 1e400")
@@ -127,26 +130,27 @@
 	f.Add("[partners.kitchen]\nweight = nan\n")
 	f.Add("[pools.p]\nlent = inf\nservers = 9223372036854775807\n")
 	f.Fuzz(func(t *testing.T, content string) {
-		_, _, err := Build([]File{kitchen("1.toml", content)})
+		_, _, err := Build([]File{kitchenFile("1.toml", content)})
 		if err != nil {
-			refusal, ok := err.(*Refusal)
+			invalid, ok := err.(*ValidationError)
 			require.True(t, ok)
-			require.Equal(t, "1.toml", refusal.File)
-			require.NotEmpty(t, refusal.Reason)
+			require.Equal(t, "1.toml", invalid.File)
+			require.NotEmpty(t, invalid.Reason)
 		}
-		c, _, _ := NewBuilder().InForce([]File{kitchen("1.toml", content)})
+		c, _, _ := NewBuilder().BuildLenient([]File{kitchenFile("1.toml", content)})
 		require.NotNil(t, c)
 		Explain(c, nil)
 	})
 }
 
-// TestCheckBitesWithoutTheRules: with the rules off, which is how InForce
-// builds, the invariants above are seen to break.
-func TestCheckBitesWithoutTheRules(t *testing.T) {
-	base, other := kitchen("10-base.toml", kitchenBase), heritage("15-redator.toml", heritageBase)
+// TestCapacityInvariantFailsWithoutRules checks that guaranteedAndRequired detects
+// a lack of capacity: BuildLenient doesn't enforce the rules, so it builds a
+// configuration that violates the invariant.
+func TestCapacityInvariantFailsWithoutRules(t *testing.T) {
+	base, other := kitchenFile("10-base.toml", kitchenBase), heritageFile("15-redator.toml", heritageBase)
 	base.Content = []byte(strings.Replace(kitchenBase, "lent = 0.25", "lent = 0", 1))
-	c, _, refusal := NewBuilder().InForce([]File{base, other})
-	require.NotNil(t, refusal)
-	held, needed := heldAndNeeded(c, "heritage")
-	require.Greater(t, needed, held)
+	c, _, invalid := NewBuilder().BuildLenient([]File{base, other})
+	require.NotNil(t, invalid)
+	guaranteed, required := guaranteedAndRequired(c, "heritage")
+	require.Greater(t, required, guaranteed)
 }
--- a/config/schema.go
+++ b/config/schema.go
@@ -2,7 +2,7 @@
 
 import "reflect"
 
-// The kinds of tables.
+// Kinds of tables.
 const (
 	kindPartners = "partners"
 	kindPools    = "pools"
@@ -13,10 +13,10 @@
 	kindLifts    = "lifts"
 )
 
-// kindNames are the kinds in the order in which refusals list them.
+// kindNames lists the kinds in the order used in error messages.
 var kindNames = []string{kindPartners, kindPools, kindModels, kindAdapters, kindServices, kindCallers, kindLifts}
 
-// Defaults of settings that no file sets.
+// Default values of settings.
 const (
 	DefaultWeight           = 1
 	DefaultAttainmentWeight = 1
@@ -28,31 +28,34 @@
 	DefaultServiceTimeoutMS = 30_000
 )
 
-// kind describes the tables of one kind, read once from Config's tags.
-type kind struct {
-	field    int            // index in Config
-	defaults reflect.Value  // of the struct
-	settings map[string]int // by toml name: index in the struct
-	owner    int            // index of Owner; -1: none
+// tableKind describes the tables of one kind. It is derived from the toml tags of
+// the kind's struct.
+type tableKind struct {
+	field    int            // index of the field in Config
+	defaults reflect.Value  // struct with the default values
+	settings map[string]int // index of the field in the struct, by toml name
+	owner    int            // index of the field Owner; -1 if there is none
 }
 
-var schema = map[string]kind{
-	kindPartners: newKind(0, Partner{Weight: DefaultWeight, AttainmentWeight: DefaultAttainmentWeight, MovesWeight: DefaultMovesWeight}),
-	kindPools:    newKind(1, Pool{}),
-	kindModels: newKind(2, Model{
+// schema has the kinds of tables by their names.
+var schema = map[string]tableKind{
+	kindPartners: newTableKind(0, Partner{Weight: DefaultWeight, AttainmentWeight: DefaultAttainmentWeight, MovesWeight: DefaultMovesWeight}),
+	kindPools:    newTableKind(1, Pool{}),
+	kindModels: newTableKind(2, Model{
 		FirstTokenMS: DefaultFirstTokenMS,
 		PerTokenMS:   DefaultPerTokenMS,
 		MaxTokens:    DefaultMaxTokens,
 		TimeoutMS:    DefaultTimeoutMS,
 	}),
-	kindAdapters: newKind(3, Adapter{}),
-	kindServices: newKind(4, Service{TimeoutMS: DefaultServiceTimeoutMS}),
-	kindCallers:  newKind(5, Caller{}),
-	kindLifts:    newKind(6, Lift{}),
+	kindAdapters: newTableKind(3, Adapter{}),
+	kindServices: newTableKind(4, Service{TimeoutMS: DefaultServiceTimeoutMS}),
+	kindCallers:  newTableKind(5, Caller{}),
+	kindLifts:    newTableKind(6, QuarantineLift{}),
 }
 
-func newKind(field int, defaults any) kind {
-	k := kind{field: field, defaults: reflect.ValueOf(defaults), settings: map[string]int{}, owner: -1}
+// newTableKind describes the kind whose tables are Config's field with that index.
+func newTableKind(field int, defaults any) tableKind {
+	k := tableKind{field: field, defaults: reflect.ValueOf(defaults), settings: map[string]int{}, owner: -1}
 	t := k.defaults.Type()
 	for i := range t.NumField() {
 		if t.Field(i).Name == "Owner" {
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -64,7 +64,7 @@
 	if last != nil && last.changed == uint64(view.Changed) {
 		return
 	}
-	built, provenance, refusal := c.builder.InForce(logsync.Files(view))
+	built, provenance, refusal := c.builder.BuildLenient(logsync.Files(view))
 	if refusal != nil {
 		// The verdict on the log stands, whatever this program makes of it.
 		c.log.WithFields(logrus.Fields{"file": refusal.File, "line": refusal.Line, "reason": refusal.Reason}).
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -20,7 +20,7 @@
 		require.Equal(t, now.Add(-QuarantineExpiry), q.since(fingerprint))
 
 		lift := func(before time.Time) {
-			cfg = &config.Config{Lifts: map[string]config.Lift{hex.EncodeToString(fingerprint[:]): {Before: before}}}
+			cfg = &config.Config{Lifts: map[string]config.QuarantineLift{hex.EncodeToString(fingerprint[:]): {Before: before}}}
 		}
 		lift(now.Add(-time.Minute))
 		require.Equal(t, now.Add(-time.Minute), q.since(fingerprint))
--- a/logsync/cost_test.go
+++ b/logsync/cost_test.go
@@ -207,7 +207,7 @@
 				c.put(&record.Record{Body: &record.Record_ConfigChange{ConfigChange: &record.ConfigChange{
 					File: file, Partner: "kitchen", Author: "ana", Content: []byte(content)}}},
 					&record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: &record.ConfigVerdict{Change: uint64(next), Accepted: true, File: file}}})
-				_, _, refusal := builder.InForce(logsync.Files(c.follower.View()))
+				_, _, refusal := builder.BuildLenient(logsync.Files(c.follower.View()))
 				require.Nil(b, refusal)
 			}
 			change("00.toml", "[pools.p]\nfailure_domains = [\"a\"]\nservers = 1900\nmemory_mib = 80000\nslots = 16\n")
--- a/logsync/judge.go
+++ b/logsync/judge.go
@@ -100,7 +100,7 @@
 func (j *Judge) delay(view *replay.ConfigView, change infra.Offset) time.Duration {
 	key := "judge/" + strconv.FormatUint(uint64(change), 10)
 	delay := time.Duration(rendezvous.Rank(key, j.opts.Members(), j.opts.Self)) * judgeStepIn
-	if _, _, refusal := j.builder.InForce(Files(view)); refusal != nil {
+	if _, _, refusal := j.builder.BuildLenient(Files(view)); refusal != nil {
 		j.opts.Logger.WithField("error", refusal).Warn("configuration in force not fully understood")
 		delay += judgeDoubt
 	}
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -165,7 +165,7 @@
 		return nil, err
 	}
 	before := maps.Clone(p.bases)
-	files, err := config.ReadPartner(p.opts.Dir, p.opts.Partner)
+	files, err := config.ReadPartnerDir(p.opts.Dir, p.opts.Partner)
 	if err != nil {
 		return nil, err
 	}
