--- a/cmd/greengageferry/publish.go
+++ b/cmd/greengageferry/publish.go
@@ -102,9 +102,9 @@
 	switch {
 	case o.Accepted:
 		fmt.Printf("accepted %s %s offset=%d\n", change, o.File, o.Offset)
-	case o.Line > 0:
-		fmt.Printf("refused %s %s offset=%d: %s:%d: %s\n", change, o.File, o.Offset, o.At, o.Line, o.Reason)
+	case o.ReasonLine > 0:
+		fmt.Printf("refused %s %s offset=%d: %s:%d: %s\n", change, o.File, o.Offset, o.ReasonFile, o.ReasonLine, o.Reason)
 	default:
-		fmt.Printf("refused %s %s offset=%d: %s: %s\n", change, o.File, o.Offset, o.At, o.Reason)
+		fmt.Printf("refused %s %s offset=%d: %s: %s\n", change, o.File, o.Offset, o.ReasonFile, o.Reason)
 	}
 }
--- a/publish/publish.go
+++ b/publish/publish.go
@@ -1,11 +1,12 @@
-// Package publish puts a partner's folder of configuration files on the
-// platform's log, one record for each file that changed, and learns each
-// change's verdict.
+// Package publish publishes a partner's folder of configuration files. A Publisher
+// appends one record to the platform's log for each changed file and waits for
+// the verdict on each change, which instances append to the log.
 //
-// A change names the version that it was edited from. The folder knows that
-// version: it is kept beside the files, in BasesFile, and moves on only when a
-// change from this folder is accepted. So an edit that races a colleague's, made
-// in another copy of the folder, is refused and not silently undone.
+// Each change names its base, the version that it was edited from. The folder
+// stores the bases of its files in BasesFile and updates a base only when a
+// change from this folder is accepted. Concurrent edits in two copies of the
+// folder therefore conflict: the second one is rejected instead of silently
+// undoing the first.
 package publish
 
 import (
@@ -27,12 +28,12 @@
 )
 
 const (
-	// DefaultTimeout bounds the wait for the log and for a verdict: the slowest
-	// judge's turn comes within half a minute of a change.
+	// DefaultTimeout bounds the wait for the log and for a verdict. The last
+	// instance in line validates a change within half a minute.
 	DefaultTimeout = time.Minute
-	// DefaultInterval is how often a watched folder is looked at.
+	// DefaultInterval is the interval between scans of a watched folder.
 	DefaultInterval = time.Second
-	// appendsPerSecond bounds what one operator takes of the log's rate.
+	// appendsPerSecond bounds one operator's share of the log's append rate.
 	appendsPerSecond = 5
 )
 
@@ -41,45 +42,45 @@
 	Log     infra.Log
 	Dir     string // the partner's folder
 	Partner string
-	Author  string
-	// Overwrite takes the version in force as the one that a file was edited
-	// from, where the folder doesn't know: the operator has looked at it.
+	Author  string // who makes the changes
+	// Overwrite uses the version in force as the base of files whose base the
+	// folder doesn't know. Operators set it after reviewing that version.
 	Overwrite bool
 	Timeout   time.Duration // 0: DefaultTimeout
 	Interval  time.Duration // 0: DefaultInterval
 	Logger    logrus.FieldLogger
 }
 
-// Outcome is what became of one changed file.
+// Outcome is the result of publishing one changed file.
 type Outcome struct {
-	File     string
-	Removed  bool
-	Offset   infra.Offset // of the change on the log
-	Accepted bool
-	Reason   string // why it was refused
-	At       string // the file that the reason is about
-	Line     uint32 // the line in it; 0: none
+	File       string
+	Removed    bool         // whether the change removes the file
+	Offset     infra.Offset // log offset of the change
+	Accepted   bool
+	Reason     string // why the change was rejected
+	ReasonFile string // file that Reason refers to; the changed file if accepted
+	ReasonLine uint32 // line in ReasonFile; 0 if unknown
 }
 
-// Publisher publishes one folder.
+// Publisher publishes the changes in one folder. It is not safe for concurrent use.
 type Publisher struct {
-	opts     Options
-	writer   *logsync.Writer
-	follower *logsync.Follower[replay.ConfigView]
-	verdicts *verdicts
-	bases    bases
-	refused  map[string][]byte // what was refused last, so that a watch doesn't send it again
-	watching bool
-	proposed map[string][]byte // what the round before found changed
+	opts            Options
+	writer          *logsync.Writer
+	follower        *logsync.Follower[replay.ConfigView]
+	verdictRecorder *verdictRecorder
+	bases           bases
+	rejected        map[string][]byte // by file: identity of the last rejected change, which Watch doesn't send again
+	watching        bool
+	lastDetected    map[string][]byte // by file: identity of the change found by the previous scan
 }
 
-// budget is an operator's share of the log's rate.
-type budget struct{}
+// fixedBudget limits appends to appendsPerSecond on each stream.
+type fixedBudget struct{}
 
 // Rate implements logsync.Budget.
-func (budget) Rate(string) (float64, int) { return appendsPerSecond, appendsPerSecond }
+func (fixedBudget) Rate(string) (float64, int) { return appendsPerSecond, appendsPerSecond }
 
-// New returns a publisher.
+// New returns a publisher with defaults for unset options.
 func New(opts Options) *Publisher {
 	if opts.Timeout == 0 {
 		opts.Timeout = DefaultTimeout
@@ -90,13 +91,13 @@
 	if opts.Logger == nil {
 		opts.Logger = logrus.StandardLogger()
 	}
-	seen := newVerdicts()
+	seen := newVerdictRecorder()
 	return &Publisher{
-		opts:     opts,
-		verdicts: seen,
-		refused:  map[string][]byte{},
+		opts:            opts,
+		verdictRecorder: seen,
+		rejected:        map[string][]byte{},
 		writer: logsync.NewWriter(logsync.WriterOptions{
-			Log: opts.Log, Origin: "publish/" + uuid.NewString(), Budget: budget{}, Logger: opts.Logger,
+			Log: opts.Log, Origin: "publish/" + uuid.NewString(), Budget: fixedBudget{}, Logger: opts.Logger,
 		}),
 		follower: logsync.NewFollower(logsync.FollowerOptions[replay.ConfigView]{
 			Log:     opts.Log,
@@ -108,31 +109,31 @@
 	}
 }
 
-// Once publishes what changed in the folder and returns each file's outcome.
+// Once publishes the changed files of the folder and returns their outcomes.
 func (p *Publisher) Once(ctx context.Context) ([]Outcome, error) {
 	var outcomes []Outcome
-	err := p.with(ctx, func(ctx context.Context) error {
+	err := p.runWithLog(ctx, func(ctx context.Context) error {
 		var err error
-		outcomes, err = p.round(ctx)
+		outcomes, err = p.publishChanges(ctx)
 		return err
 	})
 	return outcomes, err
 }
 
-// Watch publishes what changes in the folder until ctx ends, and tells report of
-// each outcome. A failed round is tried again.
+// Watch scans the folder at each interval, publishes changed files and calls
+// report with each outcome, until ctx ends. It continues after errors.
 func (p *Publisher) Watch(ctx context.Context, report func(Outcome)) error {
 	p.watching = true
-	return p.with(ctx, func(ctx context.Context) error {
+	return p.runWithLog(ctx, func(ctx context.Context) error {
 		ticker := time.NewTicker(p.opts.Interval)
 		defer ticker.Stop()
 		for {
-			outcomes, err := p.round(ctx)
+			outcomes, err := p.publishChanges(ctx)
 			for _, o := range outcomes {
 				report(o)
 			}
 			if err != nil && ctx.Err() == nil {
-				p.opts.Logger.WithField("error", err).Warn("folder not published")
+				p.opts.Logger.WithField("error", err).Warn("publishing the folder failed")
 			}
 			select {
 			case <-ticker.C:
@@ -143,21 +144,22 @@
 	})
 }
 
-// with runs the log's duties around f.
-func (p *Publisher) with(ctx context.Context, f func(context.Context) error) error {
+// runWithLog calls f while the log's writer and follower run.
+func (p *Publisher) runWithLog(ctx context.Context, f func(context.Context) error) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var group errgroup.Group
 	group.Go(func() error { return p.writer.Run(ctx) })
 	group.Go(func() error { return p.follower.Run(ctx) })
 	err := f(ctx)
 	cancel()
-	_ = group.Wait() // the duties return nil
+	_ = group.Wait() // writer and follower return nil
 	return err
 }
 
-// round publishes the folder's changes, in the order of the files' names.
-func (p *Publisher) round(ctx context.Context) ([]Outcome, error) {
-	view, err := p.inForce(ctx)
+// publishChanges scans the folder once and publishes its changes in the order of
+// the files' names.
+func (p *Publisher) publishChanges(ctx context.Context) ([]Outcome, error) {
+	view, err := p.currentView(ctx)
 	if err != nil {
 		return nil, err
 	}
@@ -176,8 +178,8 @@
 		}
 	}
 	var outcomes []Outcome
-	for _, change := range p.due(changes) {
-		outcome, err := p.publish(ctx, change)
+	for _, change := range p.readyChanges(changes) {
+		outcome, err := p.publishChange(ctx, change)
 		if outcome.Offset > 0 {
 			outcomes = append(outcomes, outcome)
 		}
@@ -188,26 +190,28 @@
 	return outcomes, nil
 }
 
-// due leaves out what was refused already and, in a watched folder, what the
-// round before didn't find alike: an editor may be in the middle of writing it.
-func (p *Publisher) due(changes []*record.ConfigChange) []*record.ConfigChange {
-	before := p.proposed
-	p.proposed = make(map[string][]byte, len(changes))
+// readyChanges omits changes that were already rejected. When watching, it also
+// omits changes that the previous scan didn't find in the same form, because an
+// editor may still be writing the file.
+func (p *Publisher) readyChanges(changes []*record.ConfigChange) []*record.ConfigChange {
+	before := p.lastDetected
+	p.lastDetected = make(map[string][]byte, len(changes))
 	var out []*record.ConfigChange
 	for _, change := range changes {
-		file, id := change.GetFile(), identity(change)
-		p.proposed[file] = id
-		refused := bytes.Equal(p.refused[file], id)
+		file, id := change.GetFile(), changeIdentity(change)
+		p.lastDetected[file] = id
+		rejected := bytes.Equal(p.rejected[file], id)
 		settled := !p.watching || bytes.Equal(before[file], id)
-		if settled && !refused {
+		if settled && !rejected {
 			out = append(out, change)
 		}
 	}
 	return out
 }
 
-// inForce waits until the config stream was read to its end.
-func (p *Publisher) inForce(ctx context.Context) (*replay.ConfigView, error) {
+// currentView waits until the config stream has been read to its end and returns
+// the configuration files in force.
+func (p *Publisher) currentView(ctx context.Context) (*replay.ConfigView, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.Timeout)
 	defer cancel()
 	for {
@@ -218,14 +222,15 @@
 		select {
 		case <-changed:
 		case <-ctx.Done():
-			return nil, &LogError{Doing: "reading what is in force", Err: ctx.Err()}
+			return nil, &LogError{Op: "reading the current configuration", Err: ctx.Err()}
 		}
 	}
 }
 
-// changes compares the folder with what is in force. A file that is the same
-// in both is noted as based on that version. A file that the folder had and
-// has no longer is removed; one that it never had is a colleague's.
+// changes compares the folder with the files in force. If a file is the same in
+// both, the version in force becomes its base. A file that has a base but is
+// missing from the folder is removed. Files in force that the folder never had
+// were published from elsewhere and are left alone.
 func (p *Publisher) changes(view *replay.ConfigView, files []config.File) []*record.ConfigChange {
 	inForce := map[string]*replay.File{}
 	for _, f := range view.Files {
@@ -240,18 +245,19 @@
 			p.bases[f.Name] = current.Offset
 			continue
 		}
-		out = append(out, p.change(f.Name, f.Content, false, current))
+		out = append(out, p.newChange(f.Name, f.Content, false, current))
 	}
 	for name := range p.bases {
 		if current := inForce[name]; !here[name] && current != nil && !current.Removed {
-			out = append(out, p.change(name, nil, true, current))
+			out = append(out, p.newChange(name, nil, true, current))
 		}
 	}
 	slices.SortFunc(out, func(a, b *record.ConfigChange) int { return bytes.Compare([]byte(a.GetFile()), []byte(b.GetFile())) })
 	return out
 }
 
-func (p *Publisher) change(name string, content []byte, removed bool, current *replay.File) *record.ConfigChange {
+// newChange returns a change to one file; current is its version in force, or nil.
+func (p *Publisher) newChange(name string, content []byte, removed bool, current *replay.File) *record.ConfigChange {
 	base, known := p.bases[name]
 	if current != nil && !known && (p.opts.Overwrite || current.Removed) {
 		base = current.Offset
@@ -262,36 +268,37 @@
 	}
 }
 
-// publish puts one change on the log and waits for its verdict.
-func (p *Publisher) publish(ctx context.Context, change *record.ConfigChange) (Outcome, error) {
+// publishChange appends one change to the log and waits for its verdict.
+func (p *Publisher) publishChange(ctx context.Context, change *record.ConfigChange) (Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.Timeout)
 	defer cancel()
 	r := &record.Record{Body: &record.Record_ConfigChange{ConfigChange: change}}
 	offset, err := p.writer.Append(ctx, infra.StreamConfig, r)
 	if err != nil {
-		return Outcome{}, &LogError{Doing: "publishing " + change.GetFile(), Err: err}
+		return Outcome{}, &LogError{Op: "publishing " + change.GetFile(), Err: err}
 	}
 	verdict, err := p.verdict(ctx, offset)
 	if err != nil {
-		return Outcome{}, &LogError{Doing: "waiting for the verdict on " + change.GetFile(), Err: err}
+		return Outcome{}, &LogError{Op: "waiting for the verdict on " + change.GetFile(), Err: err}
 	}
-	delete(p.refused, change.GetFile())
+	delete(p.rejected, change.GetFile())
 	outcome := Outcome{
 		File: change.GetFile(), Removed: change.GetRemoved(), Offset: offset,
-		Accepted: verdict.GetAccepted(), Reason: verdict.GetReason(), At: verdict.GetFile(), Line: verdict.GetLine(),
+		Accepted: verdict.GetAccepted(), Reason: verdict.GetReason(), ReasonFile: verdict.GetFile(), ReasonLine: verdict.GetLine(),
 	}
 	if !outcome.Accepted {
-		p.refused[change.GetFile()] = identity(change)
+		p.rejected[change.GetFile()] = changeIdentity(change)
 		return outcome, nil
 	}
-	p.bases.move(change, offset)
+	p.bases.update(change, offset)
 	return outcome, p.bases.write(p.opts.Dir)
 }
 
+// verdict waits for the verdict on the change at an offset.
 func (p *Publisher) verdict(ctx context.Context, offset infra.Offset) (*record.ConfigVerdict, error) {
 	for {
 		changed := p.follower.Changed()
-		if v := p.verdicts.on(offset); v != nil {
+		if v := p.verdictRecorder.verdictOn(offset); v != nil {
 			return v, nil
 		}
 		select {
@@ -302,8 +309,9 @@
 	}
 }
 
-// identity tells one proposal from another.
-func identity(c *record.ConfigChange) []byte {
+// changeIdentity returns a value that differs for any two different changes of a
+// file.
+func changeIdentity(c *record.ConfigChange) []byte {
 	kind := byte('w')
 	if c.GetRemoved() {
 		kind = 'r'
--- a/publish/verdicts.go
+++ b/publish/verdicts.go
@@ -9,32 +9,34 @@
 	"greengageferry/replay"
 )
 
-// LogError says that the log did not do what publishing needs.
+// LogError is a failure of the log during publishing.
 type LogError struct {
-	Doing string
-	Err   error
+	Op  string // operation that failed, such as "publishing 10-base.toml"
+	Err error
 }
 
 // Error implements error.
-func (e *LogError) Error() string { return fmt.Sprintf("%s: %v", e.Doing, e.Err) }
+func (e *LogError) Error() string { return fmt.Sprintf("%s: %v", e.Op, e.Err) }
 
-// Unwrap returns the cause.
+// Unwrap returns Err.
 func (e *LogError) Unwrap() error { return e.Err }
 
-// verdicts is the config stream's machine that also keeps the verdicts which
-// stand, with their reasons.
-type verdicts struct {
+// verdictRecorder is the state machine of the config stream. It also keeps the
+// effective verdict on each change, with its reason.
+type verdictRecorder struct {
 	*replay.Config
-	mu   sync.Mutex // guards kept
-	kept map[infra.Offset]*record.ConfigVerdict
+	mu       sync.Mutex                             // guards byChange
+	byChange map[infra.Offset]*record.ConfigVerdict // by the change's offset
 }
 
-func newVerdicts() *verdicts {
-	return &verdicts{Config: replay.NewConfig(), kept: map[infra.Offset]*record.ConfigVerdict{}}
+// newVerdictRecorder returns the state machine of an empty stream.
+func newVerdictRecorder() *verdictRecorder {
+	return &verdictRecorder{Config: replay.NewConfig(), byChange: map[infra.Offset]*record.ConfigVerdict{}}
 }
 
-// Apply implements replay.Machine.
-func (v *verdicts) Apply(offset infra.Offset, r *record.Record) {
+// Apply implements replay.Machine. A verdict is effective if it shortens the list
+// of pending changes; it is then the verdict on the oldest of them.
+func (v *verdictRecorder) Apply(offset infra.Offset, r *record.Record) {
 	verdict := r.GetConfigVerdict()
 	pending := v.Config.Pending()
 	v.Config.Apply(offset, r)
@@ -43,12 +45,12 @@
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.kept[pending[0].Offset] = verdict
+	v.byChange[pending[0].Offset] = verdict
 }
 
-// on returns the verdict that stands on the change, or nil before there is one.
-func (v *verdicts) on(change infra.Offset) *record.ConfigVerdict {
+// verdictOn returns the effective verdict on a change, or nil if there is none yet.
+func (v *verdictRecorder) verdictOn(change infra.Offset) *record.ConfigVerdict {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.kept[change]
+	return v.byChange[change]
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,10 +1,11 @@
-// Package settings reads an entry instance's own settings: a TOML file that
-// says who the instance is, where it listens and where the platform is. What
-// the partners declare is not here but in package config.
+// Package settings reads an entry instance's own settings: a TOML file with the
+// instance's identity, its listeners' addresses and the addresses of the
+// platform's services. The partners' declarations are in package config.
 //
-// A value that is left out takes the default that its comment gives. A key that
-// nothing asks for, a time without a unit, a host name in place of an IP number
-// or two listeners on one address are refused with file, line and key.
+// Load and Parse return Settings. Settings that the file leaves out have the
+// defaults given in their comments. Unknown keys, durations without a unit, host
+// names instead of IP addresses and two listeners on one address are errors that
+// name the file, the line and the key.
 package settings
 
 import (
@@ -28,58 +29,58 @@
 	Log      Log      `toml:"log"`
 }
 
-// Instance says who the instance is.
+// Instance identifies the instance.
 type Instance struct {
-	ID            string `toml:"id"`             // as on the platform's list; another one after each replacement; required
+	ID            string `toml:"id"`             // as on the platform's list; a replacement instance has a new one; required
 	Region        string `toml:"region"`         // required
 	FailureDomain string `toml:"failure_domain"` // required
 }
 
-// Listen holds the three listeners' addresses, each IP:port and each another
-// one. Port 0 lets the system choose.
+// Listen holds the addresses of the three listeners, each IP:port and all
+// different. With port 0 the operating system chooses the port.
 type Listen struct {
-	Callers   Addr `toml:"callers"`   // callers' HTTP; required
-	Peers     Addr `toml:"peers"`     // other entry instances' twirp; required
+	Callers   Addr `toml:"callers"`   // HTTP for clients; required
+	Peers     Addr `toml:"peers"`     // Twirp for other entry instances; required
 	Operators Addr `toml:"operators"` // metrics, status and readiness; required
 }
 
-// Platform says where the platform's services are, each http://IP:port.
+// Platform holds the base URLs of the platform's services, each http://IP:port.
 type Platform struct {
-	Log         URL `toml:"log"`          // required
-	Instances   URL `toml:"instances"`    // required
-	WeightStore URL `toml:"weight_store"` // required
+	Log         URL `toml:"log"`          // log service; required
+	Instances   URL `toml:"instances"`    // list of instances and backend servers; required
+	WeightStore URL `toml:"weight_store"` // store of model weights; required
 }
 
-// Peers are the other entry instances, which the platform's list names.
+// Peers holds the settings for communication with other entry instances.
 type Peers struct {
-	Token string   `toml:"token"` // shown on each call between entry instances; at least 16 bytes; required
-	Seeds []string `toml:"seeds"` // IP:port of peers to ask while the platform is out of reach; default none
+	Token string   `toml:"token"` // shared secret sent with each call between entry instances; at least 16 bytes; required
+	Seeds []string `toml:"seeds"` // IP:port of peers to contact while the platform is unreachable; default none
 }
 
-// Limits bound what callers can have the instance hold.
+// Limits bounds the memory and the requests that clients can make the instance hold.
 type Limits struct {
-	MaxBodyBytes int64 `toml:"max_body_bytes"` // of one request; default 1 MiB
-	MaxInFlight  int   `toml:"max_in_flight"`  // requests held at once, waiting ones included; default 4096
-	AnswerBytes  int64 `toml:"answer_bytes"`   // answers kept for resends of claimed requests, all together; default 8 MiB
+	MaxBodyBytes int64 `toml:"max_body_bytes"` // maximum body size of one request, in bytes; default 1 MiB
+	MaxInFlight  int   `toml:"max_in_flight"`  // maximum number of concurrent requests, including queued ones; default 4096
+	AnswerBytes  int64 `toml:"answer_bytes"`   // total size of the answers kept for resends of claimed requests, in bytes; default 8 MiB
 }
 
-// Timing holds the times that operators may need to change.
+// Timing holds the durations that operators may need to change.
 type Timing struct {
-	Lease         Duration `toml:"lease"`          // of a failure domain's placement; default 8s
-	OrderFlight   Duration `toml:"order_flight"`   // the longest that an order can be under way; default 2s
-	StatusEvery   Duration `toml:"status_every"`   // between two looks at one backend server; default 1s
-	ListEvery     Duration `toml:"list_every"`     // between two looks at the platform's list; default 1s
-	PlanEvery     Duration `toml:"plan_every"`     // between two placement plans; default 2s
-	ShutdownDelay Duration `toml:"shutdown_delay"` // from readiness off to refusing new work; default 3s
-	ShutdownLimit Duration `toml:"shutdown_limit"` // the most that requests in flight may take after that; default 2m
+	Lease         Duration `toml:"lease"`          // duration of the lease to place models in a failure domain; default 8s
+	OrderFlight   Duration `toml:"order_flight"`   // maximum time that an order to a backend server can be in flight; default 2s
+	StatusEvery   Duration `toml:"status_every"`   // interval between status queries to one backend server; default 1s
+	ListEvery     Duration `toml:"list_every"`     // interval between reads of the platform's list; default 1s
+	PlanEvery     Duration `toml:"plan_every"`     // interval between placement plans; default 2s
+	ShutdownDelay Duration `toml:"shutdown_delay"` // time from reporting not ready to rejecting new requests; default 3s
+	ShutdownLimit Duration `toml:"shutdown_limit"` // maximum time after that for requests in flight to end; default 2m
 }
 
-// Log says what is logged.
+// Log configures logging.
 type Log struct {
-	Level string `toml:"level"` // debug, info, warning or error; default info
+	Level string `toml:"level"` // minimum level: debug, info, warning or error; default info
 }
 
-// The defaults.
+// Default values.
 const (
 	DefaultMaxBodyBytes  = 1 << 20
 	DefaultMaxInFlight   = 4096
@@ -93,11 +94,12 @@
 	DefaultShutdownLimit = 2 * time.Minute
 	DefaultLogLevel      = "info"
 
-	// MinTokenBytes keeps the peers' token from being guessed.
+	// MinTokenBytes is the minimum length of the peers' token, so that it can't be
+	// guessed.
 	MinTokenBytes = 16
 )
 
-// Default returns settings with the defaults and nothing else.
+// Default returns settings that have only the default values.
 func Default() *Settings {
 	return &Settings{
 		Limits: Limits{
@@ -118,8 +120,8 @@
 	}
 }
 
-// Load reads and checks a file. The error is a *tomlfile.Error, or an
-// *os.PathError where the file can't be read.
+// Load reads and validates a file. The error is an *os.PathError if the file can't
+// be read, and a *tomlfile.Error if its content is invalid.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -128,32 +130,32 @@
 	return Parse(path, data)
 }
 
-// Parse checks a file's content. The error is a *tomlfile.Error.
+// Parse parses and validates a file's content. The error is a *tomlfile.Error.
 func Parse(file string, data []byte) (*Settings, error) {
 	s := Default()
 	if _, err := tomlfile.Decode(file, data, s); err != nil {
 		return nil, err
 	}
-	if problem := s.check(); problem != nil {
+	if invalid := s.check(); invalid != nil {
 		return nil, &tomlfile.Error{
 			File:   file,
-			Line:   tomlfile.Line(data, problem.key),
-			Key:    problem.key.String(),
-			Reason: problem.reason,
+			Line:   tomlfile.Line(data, invalid.key),
+			Key:    invalid.key.String(),
+			Reason: invalid.reason,
 		}
 	}
 	return s, nil
 }
 
-// problem is what is wrong with one value.
-type problem struct {
+// invalidValue says why a setting's value is invalid.
+type invalidValue struct {
 	key    toml.Key
 	reason string
 }
 
-// check returns the first thing that is wrong, or nil.
-func (s *Settings) check() *problem {
-	checks := []func() *problem{s.checkRequired, s.checkAddresses, s.checkPeers, s.checkLimits, s.checkTiming, s.checkLog}
+// check returns the first invalid value, or nil.
+func (s *Settings) check() *invalidValue {
+	checks := []func() *invalidValue{s.checkRequired, s.checkAddresses, s.checkPeers, s.checkLimits, s.checkTiming, s.checkLog}
 	for _, check := range checks {
 		if p := check(); p != nil {
 			return p
@@ -162,7 +164,7 @@
 	return nil
 }
 
-func (s *Settings) checkRequired() *problem {
+func (s *Settings) checkRequired() *invalidValue {
 	required := []struct {
 		key   toml.Key
 		unset bool
@@ -180,13 +182,13 @@
 	}
 	for _, r := range required {
 		if r.unset {
-			return &problem{r.key, "required, but not set"}
+			return &invalidValue{r.key, "required, but not set"}
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkAddresses() *problem {
+func (s *Settings) checkAddresses() *invalidValue {
 	listeners := []struct {
 		name string
 		addr Addr
@@ -194,27 +196,27 @@
 	for i, a := range listeners {
 		for _, b := range listeners[:i] {
 			if a.addr.overlaps(b.addr) {
-				return &problem{toml.Key{"listen", a.name}, "the same address as listen." + b.name}
+				return &invalidValue{toml.Key{"listen", a.name}, "the same address as listen." + b.name}
 			}
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkPeers() *problem {
+func (s *Settings) checkPeers() *invalidValue {
 	if len(s.Peers.Token) < MinTokenBytes {
-		return &problem{toml.Key{"peers", "token"}, "shorter than 16 bytes"}
+		return &invalidValue{toml.Key{"peers", "token"}, "shorter than 16 bytes"}
 	}
 	for _, seed := range s.Peers.Seeds {
 		var a Addr
 		if err := a.UnmarshalText([]byte(seed)); err != nil {
-			return &problem{toml.Key{"peers", "seeds"}, err.Error()}
+			return &invalidValue{toml.Key{"peers", "seeds"}, err.Error()}
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkLimits() *problem {
+func (s *Settings) checkLimits() *invalidValue {
 	limits := []struct {
 		name  string
 		value int64
@@ -225,13 +227,13 @@
 	}
 	for _, l := range limits {
 		if l.value <= 0 {
-			return &problem{toml.Key{"limits", l.name}, "must be above 0"}
+			return &invalidValue{toml.Key{"limits", l.name}, "must be above 0"}
 		}
 	}
 	return nil
 }
 
-func (s *Settings) checkTiming() *problem {
+func (s *Settings) checkTiming() *invalidValue {
 	times := []struct {
 		name  string
 		value Duration
@@ -246,18 +248,18 @@
 	}
 	for _, t := range times {
 		if t.value <= 0 {
-			return &problem{toml.Key{"timing", t.name}, "must be above 0"}
+			return &invalidValue{toml.Key{"timing", t.name}, "must be above 0"}
 		}
 	}
 	if s.Timing.OrderFlight*2 > s.Timing.Lease {
-		return &problem{toml.Key{"timing", "order_flight"}, "more than half of timing.lease: a holder could hardly send an order"}
+		return &invalidValue{toml.Key{"timing", "order_flight"}, "must be at most half of timing.lease: otherwise a lease holder has hardly any time to send orders"}
 	}
 	return nil
 }
 
-func (s *Settings) checkLog() *problem {
+func (s *Settings) checkLog() *invalidValue {
 	if _, err := logrus.ParseLevel(s.Log.Level); err != nil {
-		return &problem{toml.Key{"log", "level"}, "not a level: debug, info, warning or error"}
+		return &invalidValue{toml.Key{"log", "level"}, "not a level: debug, info, warning or error"}
 	}
 	return nil
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -33,7 +33,7 @@
 lease = "10s"
 `
 
-func TestValidSettingsTakeDefaults(t *testing.T) {
+func TestUnsetSettingsGetDefaults(t *testing.T) {
 	s, err := Parse("f", []byte(valid))
 	require.NoError(t, err)
 	require.Equal(t, 10*time.Second, s.Timing.Lease.Value())
@@ -42,36 +42,36 @@
 	require.Equal(t, "127.0.0.1:8081", s.Listen.Peers.String())
 }
 
-func TestRefusedSettingsNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	cases := map[string]struct {
 		old, new string
 		line     int
 		key      string
 	}{
-		"unknown key":           {"region =", "regoin =", 3, "instance.regoin"},
-		"time without unit":     {`"10s"`, `"10"`, 20, "timing.lease"},
-		"number for a time":     {`"10s"`, `10`, 20, "timing.lease"},
-		"host name":             {`"127.0.0.1:8081"`, `"localhost:8081"`, 8, "listen.peers"},
-		"host name in a URL":    {"127.0.0.1:9001", "example.org:9001", 13, "platform.instances"},
-		"path in a URL":         {"127.0.0.1:9001", "127.0.0.1:9001/x", 13, "platform.instances"},
-		"same address":          {"127.0.0.1:8082", "127.0.0.1:8080", 9, "listen.operators"},
-		"same port on any":      {"127.0.0.1:8082", "0.0.0.0:8081", 9, "listen.operators"},
-		"short token":           {"0123456789abcdef", "short", 17, "peers.token"},
-		"negative":              {`"10s"`, `"-1s"`, 20, "timing.lease"},
-		"flight near the lease": {`"10s"`, `"3s"`, 0, "timing.order_flight"},
-		"missing":               {"id = \"entry-1\"\n", "", 0, "instance.id"},
+		"unknown key":                {"region =", "regoin =", 3, "instance.regoin"},
+		"duration without unit":      {`"10s"`, `"10"`, 20, "timing.lease"},
+		"number for a duration":      {`"10s"`, `10`, 20, "timing.lease"},
+		"host name":                  {`"127.0.0.1:8081"`, `"localhost:8081"`, 8, "listen.peers"},
+		"host name in a URL":         {"127.0.0.1:9001", "example.org:9001", 13, "platform.instances"},
+		"path in a URL":              {"127.0.0.1:9001", "127.0.0.1:9001/x", 13, "platform.instances"},
+		"same address":               {"127.0.0.1:8082", "127.0.0.1:8080", 9, "listen.operators"},
+		"same port on all addresses": {"127.0.0.1:8082", "0.0.0.0:8081", 9, "listen.operators"},
+		"short token":                {"0123456789abcdef", "short", 17, "peers.token"},
+		"negative":                   {`"10s"`, `"-1s"`, 20, "timing.lease"},
+		"order flight too long":      {`"10s"`, `"3s"`, 0, "timing.order_flight"},
+		"missing":                    {"id = \"entry-1\"\n", "", 0, "instance.id"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			text := strings.Replace(valid, c.old, c.new, 1)
 			require.NotEqual(t, valid, text)
 			_, err := Parse("entry.toml", []byte(text))
-			var refused *tomlfile.Error
-			require.True(t, errors.As(err, &refused), "got %v", err)
-			require.Equal(t, "entry.toml", refused.File)
-			require.Equal(t, c.key, refused.Key, "%v", refused)
-			require.Equal(t, c.line, refused.Line, "%v", refused)
-			require.NotEmpty(t, refused.Reason)
+			var invalid *tomlfile.Error
+			require.True(t, errors.As(err, &invalid), "got %v", err)
+			require.Equal(t, "entry.toml", invalid.File)
+			require.Equal(t, c.key, invalid.Key, "%v", invalid)
+			require.Equal(t, c.line, invalid.Line, "%v", invalid)
+			require.NotEmpty(t, invalid.Reason)
 		})
 	}
 }
--- a/tomlfile/tomlfile.go
+++ b/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile decodes TOML strictly: a key that nothing asks for is an
-// error, and each error names file, line and key.
+// Package tomlfile decodes TOML files strictly: unknown keys are errors. Each Error
+// names the file and, where they are known, the line and the key.
 package tomlfile
 
 import (
@@ -10,12 +10,12 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Error is a refusal of a file.
+// Error says why a file is invalid.
 type Error struct {
 	File   string
-	Line   int    // from 1; 0: the refusal has no line
-	Key    string // dotted, as in "models.tray-planner.mib"; empty: the refusal has none
-	Reason string // for whoever wrote the file
+	Line   int    // from 1; 0 if unknown
+	Key    string // dotted, as in "models.tray-planner.mib"; "" if unknown
+	Reason string // explanation for the file's author
 }
 
 // Error implements error.
@@ -32,12 +32,12 @@
 	return b.String()
 }
 
-// Decode reads the document into v and returns the keys that it sets. The error
-// is an *Error.
+// Decode decodes the document into v and returns metadata such as the keys that it
+// sets. The error is an *Error.
 func Decode(file string, data []byte, v any) (toml.MetaData, error) {
 	meta, err := toml.Decode(string(data), v)
 	if err != nil {
-		return meta, refusal(file, err)
+		return meta, convertError(file, err)
 	}
 	if unknown := meta.Undecoded(); len(unknown) > 0 {
 		key := unknown[0].String()
@@ -46,31 +46,31 @@
 	return meta, nil
 }
 
-// typeErrorFormat is how the decoder words a value of the wrong type: it has no
-// type of its own for that.
+// typeErrorFormat is the start of the decoder's message for a value of the wrong
+// type. The decoder has no exported error type for that case.
 const typeErrorFormat = "toml: line %d (last key %q):"
 
-// refusal turns the decoder's error into an *Error.
-func refusal(file string, err error) *Error {
+// convertError converts the decoder's error into an *Error.
+func convertError(file string, err error) *Error {
 	var parse toml.ParseError
 	if errors.As(err, &parse) {
 		return &Error{File: file, Line: parse.Position.Line, Key: parse.LastKey, Reason: parse.Message}
 	}
 	text := err.Error()
-	refused := &Error{File: file, Reason: strings.TrimPrefix(text, "toml: ")}
-	if n, _ := fmt.Sscanf(text, typeErrorFormat, &refused.Line, &refused.Key); n == 2 {
-		_, refused.Reason, _ = strings.Cut(text, "): ")
+	converted := &Error{File: file, Reason: strings.TrimPrefix(text, "toml: ")}
+	if n, _ := fmt.Sscanf(text, typeErrorFormat, &converted.Line, &converted.Key); n == 2 {
+		_, converted.Reason, _ = strings.Cut(text, "): ")
 	}
-	return refused
+	return converted
 }
 
-// Line returns the line, from 1, on which the document sets the key or opens
-// the table of that name, or 0 if it can't tell.
+// Line returns the line, from 1, on which the document sets the key or has the
+// header of the table with that name. It returns 0 if it finds neither.
 func Line(data []byte, key toml.Key) int {
 	table := toml.Key{}
 	for i, line := range strings.Split(string(data), "\n") {
 		line = strings.TrimSpace(line)
-		if header, ok := tableHeader(line); ok {
+		if header, ok := parseTableHeader(line); ok {
 			table = header
 			if table.String() == key.String() {
 				return i + 1
@@ -81,7 +81,7 @@
 		if !ok {
 			continue
 		}
-		full := append(append(toml.Key{}, table...), parts(name)...)
+		full := append(append(toml.Key{}, table...), splitKey(name)...)
 		if full.String() == key.String() {
 			return i + 1
 		}
@@ -89,8 +89,9 @@
 	return 0
 }
 
-// tableHeader reads a line such as [models."a.b"] or [[x]].
-func tableHeader(line string) (toml.Key, bool) {
+// parseTableHeader parses a line such as [models."a.b"] or [[x]]. It returns false
+// for other lines.
+func parseTableHeader(line string) (toml.Key, bool) {
 	if !strings.HasPrefix(line, "[") {
 		return nil, false
 	}
@@ -98,11 +99,11 @@
 	if end < 0 {
 		return nil, false
 	}
-	return parts(strings.Trim(line[:end], "[]")), true
+	return splitKey(strings.Trim(line[:end], "[]")), true
 }
 
-// parts splits a dotted key; a dot within quotes doesn't split.
-func parts(name string) toml.Key {
+// splitKey splits a dotted key at the dots outside of quotes.
+func splitKey(name string) toml.Key {
 	var key toml.Key
 	var part strings.Builder
 	quote := rune(0)
