--- a/logsync/judge.go
+++ b/logsync/judge.go
@@ -104,7 +104,7 @@
 func (j *Judge) delay(view *replay.ConfigView, change infra.Offset) time.Duration {
 	key := "judge/" + strconv.FormatUint(uint64(change), 10)
 	delay := time.Duration(rendezvous.Rank(key, j.opts.Members(), j.opts.Self)) * judgeTakeoverDelay
-	if _, _, refusal := j.builder.InForce(Files(view)); refusal != nil {
+	if _, _, refusal := j.builder.BuildLenient(Files(view)); refusal != nil {
 		j.opts.Logger.WithField("error", refusal).Warn("configuration in force not fully supported by this program version")
 		delay += unsupportedConfigDelay
 	}
