--- a/caller/server.go
+++ b/caller/server.go
@@ -90,7 +90,7 @@
 func (s *Server) Run(ctx context.Context) error {
 	g, gctx := errgroup.WithContext(ctx)
 	duty := func(name string, run func(context.Context) error) {
-		g.Go(func() error { return supervise.Once(gctx, supervise.Duty{Name: name, Run: run}) })
+		g.Go(func() error { return supervise.RunOnce(gctx, supervise.Duty{Name: name, Run: run}) })
 	}
 	duty("dispatcher", s.dispatch)
 	duty("results", s.results.run)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -8,8 +8,8 @@
 	"greengageferry/logsync"
 )
 
-// wireClaims makes this instance's part in the shards' batchers and the client
-// that finds a shard's.
+// wireClaims creates the batchers, which write the claims of the shards that this instance
+// leads, and the client that sends claims to the batcher of their shard.
 func (i *Instance) wireClaims() {
 	self := infra.Instance{
 		ID:            i.opts.Settings.Instance.ID,
@@ -35,17 +35,18 @@
 	})
 }
 
-// budget is this instance's part of the log's appends.
-func (i *Instance) budget() logsync.Budget {
+// appendBudget returns this instance's share of the append rate that the log allows.
+func (i *Instance) appendBudget() logsync.Budget {
 	return logsync.Share{
 		Live:    func() int { return len(i.watcher.List().Entries("")) },
-		Streams: func() int { return claims.Shards + len(*i.domains.followers.Load()) },
+		Streams: func() int { return claims.Shards + len(*i.controlFollowers.followers.Load()) },
 		Leads:   i.leads,
 	}
 }
 
-// leads says whether this instance is the one that writes a stream now: its
-// failure domain's lease holder, or a shard's batcher.
+// leads reports whether this instance is currently the main writer of a stream: as the
+// lease holder of its failure domain for control streams, as the shard's batcher for claim
+// streams.
 func (i *Instance) leads(stream string) bool {
 	if strings.HasPrefix(stream, infra.ControlStream("")) {
 		controller := i.controller.Load()
--- a/entry/configuration.go
+++ b/entry/configuration.go
@@ -11,29 +11,29 @@
 	"greengageferry/replay"
 )
 
-// inForce is the configuration in force, with where each value comes from.
-type inForce struct {
+// activeConfig is the configuration in force, with the source of each value.
+type activeConfig struct {
 	config     *config.Config
 	provenance config.Provenance
-	changed    uint64 // offset of the verdict that put it in force
+	offset     uint64 // log offset of the verdict that put config in force
 }
 
-// configuration is a duty: it builds what is in force each time the config
-// stream's view changes. What it once had it keeps until something newer is
-// there, so an outage of the log takes nothing out of force.
-type configuration struct {
+// configTracker is a duty that builds the configuration in force each time the view of the
+// config stream changes. A configuration stays in force until a newer one replaces it, so
+// an outage of the log does not affect it.
+type configTracker struct {
 	follower *logsync.Follower[replay.ConfigView]
 	builder  *config.Builder
 	log      logrus.FieldLogger
-	current  atomic.Pointer[inForce]
+	current  atomic.Pointer[activeConfig]
 }
 
-func newConfiguration(follower *logsync.Follower[replay.ConfigView], log logrus.FieldLogger) *configuration {
-	return &configuration{follower: follower, builder: config.NewBuilder(), log: log}
+func newConfigTracker(follower *logsync.Follower[replay.ConfigView], log logrus.FieldLogger) *configTracker {
+	return &configTracker{follower: follower, builder: config.NewBuilder(), log: log}
 }
 
-// Config implements caller.Directory. It is nil before any is known.
-func (c *configuration) Config() *config.Config {
+// Config implements caller.Directory. It returns nil until a configuration is known.
+func (c *configTracker) Config() *config.Config {
 	current := c.current.Load()
 	if current == nil {
 		return nil
@@ -41,8 +41,8 @@
 	return current.config
 }
 
-// run follows the view until ctx ends.
-func (c *configuration) run(ctx context.Context) error {
+// run rebuilds the configuration on each change of the view, until ctx ends.
+func (c *configTracker) run(ctx context.Context) error {
 	for {
 		changed := c.follower.Changed()
 		c.refresh()
@@ -54,26 +54,27 @@
 	}
 }
 
-// refresh builds the configuration if it isn't the one in force yet.
-func (c *configuration) refresh() {
+// refresh builds the view's configuration unless it is already in force.
+func (c *configTracker) refresh() {
 	view := c.follower.View()
 	if view == nil {
 		return
 	}
 	last := c.current.Load()
-	if last != nil && last.changed == uint64(view.Changed) {
+	if last != nil && last.offset == uint64(view.Changed) {
 		return
 	}
 	built, provenance, refusal := c.builder.InForce(logsync.Files(view))
 	if refusal != nil {
-		// The verdict on the log stands, whatever this program makes of it.
+		// The log's verdict decides what is in force, even if this version of the
+		// program finds the configuration invalid.
 		c.log.WithFields(logrus.Fields{"file": refusal.File, "line": refusal.Line, "reason": refusal.Reason}).
 			Warn("configuration in force is not valid for this program")
 	}
 	if built == nil {
 		return
 	}
-	c.current.Store(&inForce{config: built, provenance: provenance, changed: uint64(view.Changed)})
+	c.current.Store(&activeConfig{config: built, provenance: provenance, offset: uint64(view.Changed)})
 	c.log.WithFields(logrus.Fields{
 		"offset":   view.Changed,
 		"files":    len(view.Files),
--- a/entry/domains.go
+++ b/entry/domains.go
@@ -15,37 +15,37 @@
 	"greengageferry/supervise"
 )
 
-// domainsEvery is how often the configuration is looked at for a failure domain
-// that is new: they come once in years, a second is nothing then, and at the
-// start it is less than a first read takes.
-const domainsEvery = 250 * time.Millisecond
+// domainCheckInterval is the time between two checks of the configuration for new failure
+// domains. New ones are rare; at startup the interval is shorter than a first read of a
+// stream.
+const domainCheckInterval = 250 * time.Millisecond
 
 // controlFollower follows one failure domain's control stream.
 type controlFollower = logsync.Follower[replay.ControlView]
 
-// domains is a duty: it follows the control stream of the own failure domain
-// and of each that the configuration names.
-type domains struct {
-	own       string
-	config    func() *config.Config
-	follow    func(domain string) *controlFollower
-	options   supervise.Options
-	followers atomic.Pointer[map[string]*controlFollower] // replaced, never changed
+// controlFollowers is a duty that follows the control streams of its own failure domain and
+// of each failure domain that the configuration names.
+type controlFollowers struct {
+	ownDomain   string
+	config      func() *config.Config
+	newFollower func(domain string) *controlFollower
+	options     supervise.Options
+	followers   atomic.Pointer[map[string]*controlFollower] // by failure domain; the map is replaced, never modified
 }
 
-func newDomains(own string, cfg func() *config.Config, follow func(string) *controlFollower, options supervise.Options) *domains {
-	d := &domains{own: own, config: cfg, follow: follow, options: options}
-	d.followers.Store(&map[string]*controlFollower{own: follow(own)})
+func newControlFollowers(ownDomain string, cfg func() *config.Config, newFollower func(string) *controlFollower, options supervise.Options) *controlFollowers {
+	d := &controlFollowers{ownDomain: ownDomain, config: cfg, newFollower: newFollower, options: options}
+	d.followers.Store(&map[string]*controlFollower{ownDomain: newFollower(ownDomain)})
 	return d
 }
 
-// ownFollower returns the own failure domain's follower.
-func (d *domains) ownFollower() *controlFollower { return (*d.followers.Load())[d.own] }
+// ownFollower returns the follower of the instance's own failure domain.
+func (c *controlFollowers) ownFollower() *controlFollower { return (*c.followers.Load())[c.ownDomain] }
 
-// views returns the newest view of each failure domain that has one.
-func (d *domains) views() map[string]*replay.ControlView {
+// views returns the newest view of each failure domain that has one, by failure domain.
+func (c *controlFollowers) views() map[string]*replay.ControlView {
 	views := map[string]*replay.ControlView{}
-	for domain, follower := range *d.followers.Load() {
+	for domain, follower := range *c.followers.Load() {
 		if view := follower.View(); view != nil {
 			views[domain] = view
 		}
@@ -53,30 +53,30 @@
 	return views
 }
 
-// others returns the views but for the own failure domain's.
-func (d *domains) others() map[string]*replay.ControlView {
-	views := d.views()
-	delete(views, d.own)
+// otherViews returns the views of all failure domains but the instance's own.
+func (c *controlFollowers) otherViews() map[string]*replay.ControlView {
+	views := c.views()
+	delete(views, c.ownDomain)
 	return views
 }
 
-// run follows until ctx ends. A failure domain that the configuration no longer
-// names is still followed: its backend servers may be serving yet, and an idle
-// stream costs one read each 20 s.
-func (d *domains) run(ctx context.Context) error {
+// run runs the followers until ctx ends. A failure domain that the configuration no longer
+// names is still followed: its backend servers may still be serving, and an idle stream
+// costs one read every 20 s.
+func (c *controlFollowers) run(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	running := map[string]bool{}
-	ticker := time.NewTicker(domainsEvery)
+	ticker := time.NewTicker(domainCheckInterval)
 	defer ticker.Stop()
 	for {
-		d.add(d.wanted())
-		for domain, follower := range *d.followers.Load() {
+		c.addFollowers(c.configuredDomains())
+		for domain, follower := range *c.followers.Load() {
 			if running[domain] {
 				continue
 			}
 			running[domain] = true
 			duty := supervise.Duty{Name: follower.Stream(), Run: follower.Run}
-			group.Go(func() error { return supervise.Run(ctx, d.options, duty) })
+			group.Go(func() error { return supervise.Run(ctx, c.options, duty) })
 		}
 		select {
 		case <-ctx.Done():
@@ -86,9 +86,9 @@
 	}
 }
 
-// wanted returns the failure domains that the configuration names.
-func (d *domains) wanted() []string {
-	cfg := d.config()
+// configuredDomains returns the failure domains that the configuration names, sorted.
+func (c *controlFollowers) configuredDomains() []string {
+	cfg := c.config()
 	if cfg == nil {
 		return nil
 	}
@@ -101,16 +101,16 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// add makes a follower for each domain that has none.
-func (d *domains) add(names []string) {
-	current := *d.followers.Load()
+// addFollowers creates a follower for each named domain that has none.
+func (c *controlFollowers) addFollowers(names []string) {
+	current := *c.followers.Load()
 	next := maps.Clone(current)
 	for _, name := range names {
 		if next[name] == nil {
-			next[name] = d.follow(name)
+			next[name] = c.newFollower(name)
 		}
 	}
 	if len(next) > len(current) {
-		d.followers.Store(&next)
+		c.followers.Store(&next)
 	}
 }
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -1,6 +1,8 @@
-// Package entry is an entry instance: it wires the duties together, supervises
-// them, and ends them in order. Every instance runs the same; which one holds a
-// lease or leads a shard follows from the log and the platform's list.
+// Package entry implements an entry instance, the process that takes in requests. An
+// Instance creates the components of the other packages, runs them as supervised duties
+// (long-running goroutines, see package supervise) and shuts them down in order. All
+// instances run the same duties; the log and the platform's instance list decide which one
+// holds a failure domain's lease or writes a shard's claims.
 package entry
 
 import (
@@ -25,7 +27,7 @@
 	"greengageferry/traffic"
 )
 
-// Platform is what the platform gives, as clients.
+// Platform holds the clients of the platform's services.
 type Platform struct {
 	Log       infra.Log
 	Instances infra.Instances
@@ -34,49 +36,50 @@
 	Services  infra.Services
 }
 
-// Options are what an Instance needs.
+// Options configures an Instance. Settings and Log are required.
 type Options struct {
 	Settings *settings.Settings
-	Platform Platform // zero: HTTP clients for the settings' addresses
-	Version  string   // the program's, for verdicts and status
+	Platform Platform // zero: HTTP clients for the addresses in Settings
+	Version  string   // program version, for configuration verdicts and the status
 	Log      logrus.FieldLogger
 	Rand     *rand.Rand // nil: seeded at random
-	Dial     Dial       // how it reaches peers, and the platform unless Platform is set; nil: TCP
+	Dial     Dial       // connects to peers, and to the platform unless Platform is set; nil: TCP
 }
 
 // Instance is an entry instance.
 type Instance struct {
-	opts    Options
-	log     logrus.FieldLogger
-	metrics *expvar.Map
-	leaving atomic.Bool
-
-	watcher       *fleet.Watcher
-	writer        *logsync.Writer
-	config        *logsync.Follower[replay.ConfigView]
-	quarantined   *logsync.Follower[replay.QuarantineView]
-	configuration *configuration
-	domains       *domains
-	routing       *routing
-	table         atomic.Pointer[decide.Table]
-	quarantine    *quarantine
-	caller        *caller.Server
-	meter         *demand.Meter
-	loads         *demand.Loads
-	collector     *demand.Collector
-	peers         *peer.Client
-	peerTraffic   *traffic.Counters
-	states        *peer.States
-	missing       *missing
-	hints         *hints
-	batchers      *claims.Batchers
-	claimer       *claims.Client
-	controller    atomic.Pointer[control.Controller]
+	opts         Options
+	log          logrus.FieldLogger
+	metrics      *expvar.Map
+	shuttingDown atomic.Bool
+
+	watcher          *fleet.Watcher
+	writer           *logsync.Writer
+	configStream     *logsync.Follower[replay.ConfigView]
+	quarantineStream *logsync.Follower[replay.QuarantineView]
+	configTracker    *configTracker
+	controlFollowers *controlFollowers
+	tableBuilder     *tableBuilder
+	table            atomic.Pointer[decide.Table]
+	quarantine       *quarantine
+	caller           *caller.Server
+	meter            *demand.Meter
+	loads            *demand.Loads
+	collector        *demand.Collector
+	peers            *peer.Client
+	peerTraffic      *traffic.Counters
+	states           *peer.States
+	missingReports   *missingReports
+	cachePoller      *cachePoller
+	batchers         *claims.Batchers
+	claimer          *claims.Client
+	controller       atomic.Pointer[control.Controller]
 
 	listeners map[string]*listener
 }
 
-// New takes the instance's addresses and wires its duties. Run starts them.
+// New creates the instance's components and listens on its addresses. Run starts the
+// duties.
 func New(opts Options) (*Instance, error) {
 	i := &Instance{
 		opts:    opts,
@@ -91,7 +94,7 @@
 	i.wireStreams()
 	i.wireClaims()
 	i.wireDemand()
-	i.wireMissing()
+	i.wireMissingReports()
 	if err := i.wireCaller(); err != nil {
 		return nil, err
 	}
@@ -103,7 +106,7 @@
 	return i, nil
 }
 
-// listen takes the instance's three addresses.
+// listen opens the listeners for callers, peers and operators.
 func (i *Instance) listen() error {
 	s := i.opts.Settings.Listen
 	addresses := []struct {
@@ -127,25 +130,25 @@
 
 func (i *Instance) closeListeners() {
 	for _, l := range i.listeners {
-		_ = l.net.Close() // nothing was served on it
+		_ = l.net.Close() // nothing has been served on the listener
 	}
 }
 
-// CallersAddr, PeersAddr and OperatorsAddr return the addresses that were
-// taken, as IP:port.
+// CallersAddr returns the address that callers send requests to, as IP:port.
 func (i *Instance) CallersAddr() string { return i.listeners["callers"].addr() }
 
-// PeersAddr returns the peers' address.
+// PeersAddr returns the address for other instances, as IP:port.
 func (i *Instance) PeersAddr() string { return i.listeners["peers"].addr() }
 
-// OperatorsAddr returns the operators' address.
+// OperatorsAddr returns the address for operators, as IP:port.
 func (i *Instance) OperatorsAddr() string { return i.listeners["operators"].addr() }
 
-// domainOf returns a listed instance's failure domain, or "" for one that has gone.
+// domainOf returns the failure domain of an instance, or "" if the list does not have the
+// instance.
 func (i *Instance) domainOf(id string) string {
 	listed, _ := i.watcher.List().Get(id)
 	return listed.FailureDomain
 }
 
-// Ready says whether callers may be sent here.
-func (i *Instance) Ready() bool { return len(i.notReady()) == 0 }
+// Ready reports whether a load balancer may send callers to this instance.
+func (i *Instance) Ready() bool { return len(i.notReadyReasons()) == 0 }
--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -28,23 +28,23 @@
 	return log
 }
 
-func TestRoutingIsBuiltAnewOnlyWhenSomethingItRestsOnChanged(t *testing.T) {
+func TestTableIsRebuiltOnlyWhenInputsChange(t *testing.T) {
 	cfg := &config.Config{Services: map[string]config.Service{"campo": {}}}
 	list := fleet.NewList(time.Time{}, []infra.Instance{{ID: "c", Role: infra.RoleService, Pool: "campo"}})
 	view := &replay.ControlView{Offset: 1, Servers: map[string]*replay.Server{}}
 	published := 0
-	r := &routing{
-		domain:   "porto-a",
-		config:   func() *config.Config { return cfg },
-		list:     func() *fleet.List { return list },
-		controls: func() map[string]*replay.ControlView { return map[string]*replay.ControlView{"porto-a": view} },
-		publish:  func(*decide.Table) { published++ },
-		log:      quietLog(),
+	r := &tableBuilder{
+		domain:       "porto-a",
+		config:       func() *config.Config { return cfg },
+		list:         func() *fleet.List { return list },
+		controlViews: func() map[string]*replay.ControlView { return map[string]*replay.ControlView{"porto-a": view} },
+		publish:      func(*decide.Table) { published++ },
+		log:          quietLog(),
 	}
-	last := r.refresh(inputs{})
+	last := r.refresh(tableInputs{})
 	require.Equal(t, 1, published)
 
-	renewed := *view // a lease's renewal makes a view that shares its servers
+	renewed := *view // a lease renewal leaves the map of servers unchanged
 	renewed.Offset++
 	view = &renewed
 	last = r.refresh(last)
@@ -61,7 +61,7 @@
 	require.Equal(t, 3, published)
 }
 
-func TestRefusalForCapacityIsMeteredWhereItCouldHaveBeenServed(t *testing.T) {
+func TestCapacityRefusalIsMeteredInServingDomains(t *testing.T) {
 	table := &decide.Table{
 		OwnDomain: "porto-a",
 		Servers:   []decide.Server{{ID: "s1", FailureDomain: "pelotas"}, {ID: "s2", FailureDomain: "caxias"}},
@@ -83,7 +83,7 @@
 	require.InDelta(t, 0.5/demand.TimeConstant.Seconds(), caxias["m"].Refused, 1e-4)
 }
 
-func TestListenerLetsAnAnswerUnderWayEnd(t *testing.T) {
+func TestListenerCompletesInFlightResponse(t *testing.T) {
 	begun, finish := make(chan struct{}), make(chan struct{})
 	l, err := listen("callers", "127.0.0.1:0", http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		close(begun)
@@ -114,7 +114,7 @@
 	require.NoError(t, <-ended)
 }
 
-func TestAddressInUseIsATypedFailure(t *testing.T) {
+func TestAddressInUseReturnsListenError(t *testing.T) {
 	l, err := listen("callers", "127.0.0.1:0", nil)
 	require.NoError(t, err)
 	defer l.net.Close()
--- a/entry/hints.go
+++ b/entry/hints.go
@@ -9,96 +9,97 @@
 )
 
 const (
-	// hintsEvery is the time between two questions for cache events, one server
-	// each: 0.5 calls a second, whatever the number of servers. What this
-	// instance sent itself it knows already; the events tell what others sent
-	// and what was dropped, and are late in any case.
-	hintsEvery = 2 * time.Second
-	// hintsTime bounds one question.
-	hintsTime = time.Second
-	// hintsServers bounds the servers that are asked in turn: those that this
-	// instance used last. Full: the one that was asked last makes room.
-	hintsServers = 32
-	// hintsRing bounds the words of used servers that wait. Full: a word is
-	// dropped, since the next request says it again.
-	hintsRing = 64
+	// cachePollInterval is the time between two polls for cache events. Each poll asks
+	// one server, which makes 0.5 calls per second for any number of servers. More is
+	// not needed: the instance already knows which prompts it sent itself, and the events
+	// about other instances' prompts and about evictions are late in any case.
+	cachePollInterval = 2 * time.Second
+	// cachePollTimeout bounds one poll.
+	cachePollTimeout = time.Second
+	// maxPolledServers bounds the servers that are polled in turn: those that this
+	// instance used most recently. Beyond the bound, the last one in the queue, which was
+	// polled most recently, is dropped.
+	maxPolledServers = 32
+	// usedServerBuffer bounds the queued notices of used servers. When the buffer is full
+	// a notice is dropped: the next request to the server sends another.
+	usedServerBuffer = 64
 )
 
-// hints is a duty: it asks the backend servers that this instance uses, one
-// after the other, which prompt prefixes they took in or dropped.
-type hints struct {
-	engine  infra.Engine
-	ring    chan server
-	cached  func(server string, events []infra.CacheEvent)
-	metrics *expvar.Map
+// cachePoller is a duty that polls the backend servers that this instance uses, one after
+// the other, for the prompt prefixes that they cached or evicted.
+type cachePoller struct {
+	engine      infra.Engine
+	usedServers chan server
+	applyEvents func(server string, events []infra.CacheEvent)
+	metrics     *expvar.Map
 }
 
-// server names a backend server and its address.
+// server identifies a backend server.
 type server struct{ id, addr string }
 
-// asked is a server that is asked in turn.
-type asked struct {
+// polledServer is a server in the polling queue.
+type polledServer struct {
 	server
-	after uint64 // sequence of the last event known
+	after uint64 // sequence number of the last event received
 }
 
-// used takes in that a request was sent to a model engine; it never waits.
-func (h *hints) used(id, addr string) {
+// markUsed notes that a request was sent to a model engine. It never blocks.
+func (p *cachePoller) markUsed(id, addr string) {
 	select {
-	case h.ring <- server{id, addr}:
+	case p.usedServers <- server{id, addr}:
 	default:
 	}
 }
 
-// run asks until ctx ends.
-func (h *hints) run(ctx context.Context) error {
-	ticker := time.NewTicker(hintsEvery)
+// run polls until ctx ends.
+func (p *cachePoller) run(ctx context.Context) error {
+	ticker := time.NewTicker(cachePollInterval)
 	defer ticker.Stop()
-	var turn []asked // the next to ask first
+	var queue []polledServer // the next to poll first
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case s := <-h.ring:
-			turn = include(turn, s)
+		case s := <-p.usedServers:
+			queue = addServer(queue, s)
 		case <-ticker.C:
-			if len(turn) == 0 {
+			if len(queue) == 0 {
 				continue
 			}
-			next := turn[0]
-			turn = turn[1:]
-			if h.ask(ctx, &next) {
-				turn = append(turn, next)
+			next := queue[0]
+			queue = queue[1:]
+			if p.poll(ctx, &next) {
+				queue = append(queue, next)
 			}
 		}
 	}
 }
 
-// include puts a server that isn't there yet at the front.
-func include(turn []asked, s server) []asked {
-	for _, a := range turn {
+// addServer puts a server that is not in the queue at its front.
+func addServer(queue []polledServer, s server) []polledServer {
+	for _, a := range queue {
 		if a.server == s {
-			return turn
+			return queue
 		}
 	}
-	turn = append([]asked{{server: s}}, turn...)
-	return turn[:min(len(turn), hintsServers)]
+	queue = append([]polledServer{{server: s}}, queue...)
+	return queue[:min(len(queue), maxPolledServers)]
 }
 
-// ask says whether the server answered. One that didn't is left out until it is
-// used again.
-func (h *hints) ask(ctx context.Context, a *asked) bool {
-	ctx, cancel := context.WithTimeout(ctx, hintsTime)
+// poll fetches a server's cache events and reports whether the server answered. A server
+// that does not answer leaves the queue until it is used again.
+func (p *cachePoller) poll(ctx context.Context, a *polledServer) bool {
+	ctx, cancel := context.WithTimeout(ctx, cachePollTimeout)
 	defer cancel()
-	events, err := h.engine.CacheEvents(ctx, a.addr, a.after)
+	events, err := p.engine.CacheEvents(ctx, a.addr, a.after)
 	if err != nil {
-		h.metrics.Add("failed", 1)
+		p.metrics.Add("failed", 1)
 		return false
 	}
-	h.metrics.Add("events", int64(len(events)))
+	p.metrics.Add("events", int64(len(events)))
 	if len(events) > 0 {
 		a.after = events[len(events)-1].Sequence
-		h.cached(a.id, events)
+		p.applyEvents(a.id, events)
 	}
 	return true
 }
--- a/entry/hints_test.go
+++ b/entry/hints_test.go
@@ -14,7 +14,8 @@
 	"greengageferry/infra"
 )
 
-// cacheEngine answers for cache events only.
+// cacheEngine implements only CacheEvents: one new event per call, and an error for the
+// address "dead".
 type cacheEngine struct {
 	infra.Engine
 	asked atomic.Int64
@@ -28,44 +29,44 @@
 	return []infra.CacheEvent{{Sequence: after + 1}}, nil
 }
 
-func TestCacheEventsCostTheSameHoweverManyServers(t *testing.T) {
+func TestCachePollRateIsIndependentOfServerCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &cacheEngine{}
 		got := map[string]uint64{}
-		h := &hints{
-			engine:  engine,
-			ring:    make(chan server, hintsRing),
-			cached:  func(id string, events []infra.CacheEvent) { got[id] = events[0].Sequence },
-			metrics: new(expvar.Map),
+		h := &cachePoller{
+			engine:      engine,
+			usedServers: make(chan server, usedServerBuffer),
+			applyEvents: func(id string, events []infra.CacheEvent) { got[id] = events[0].Sequence },
+			metrics:     new(expvar.Map),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- h.run(ctx) }()
-		h.used("dead", "dead")
+		h.markUsed("dead", "dead")
 		for n := range 100 {
-			h.used(fmt.Sprint("server-", n), fmt.Sprint("addr-", n))
+			h.markUsed(fmt.Sprint("server-", n), fmt.Sprint("addr-", n))
 			synctest.Wait()
 		}
-		time.Sleep(2*hintsServers*hintsEvery + time.Millisecond)
+		time.Sleep(2*maxPolledServers*cachePollInterval + time.Millisecond)
 		synctest.Wait()
-		require.EqualValues(t, 2*hintsServers, engine.asked.Load())
-		require.Len(t, got, hintsServers)
-		require.EqualValues(t, 2, got["server-99"], "events go on where they ended")
+		require.EqualValues(t, 2*maxPolledServers, engine.asked.Load())
+		require.Len(t, got, maxPolledServers)
+		require.EqualValues(t, 2, got["server-99"], "polling continues after the last event")
 		cancel()
 		require.NoError(t, <-ended)
 	})
 }
 
-func TestServerThatDoesNotAnswerIsAskedAgainOnlyWhenUsed(t *testing.T) {
+func TestFailedServerIsPolledAgainOnlyWhenUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		engine := &cacheEngine{}
-		h := &hints{engine: engine, ring: make(chan server, hintsRing), metrics: new(expvar.Map)}
+		h := &cachePoller{engine: engine, usedServers: make(chan server, usedServerBuffer), metrics: new(expvar.Map)}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, 1)
 		go func() { ended <- h.run(ctx) }()
 		for range 2 {
-			h.used("dead", "dead")
-			time.Sleep(10 * hintsEvery)
+			h.markUsed("dead", "dead")
+			time.Sleep(10 * cachePollInterval)
 		}
 		require.EqualValues(t, 2, engine.asked.Load())
 		cancel()
--- a/entry/holding.go
+++ b/entry/holding.go
@@ -14,46 +14,46 @@
 	"greengageferry/supervise"
 )
 
-// logDownAfter is how long a stream must have gone without an answer, and with
-// a failure, before the log counts as out: a single read that failed is no
-// outage.
+// logDownAfter is how long ago the last successful read of a stream must be, with failed
+// reads since, before the log counts as down. A single failed read is no outage.
 const logDownAfter = 3 * time.Second
 
-// quietEvery is the time between the lease holder's own looks at a server that
-// is as it should be. The domain's instances share the looks that find what
-// changed (patrol), so the holder's are a last resort: 211 servers in 10 minutes
-// are 0.35 looks a second, 0.7 KB/s.
-const quietEvery = 10 * time.Minute
+// inSyncPollInterval is the time between two polls by which the lease holder checks a
+// server that matches its assignment. The instances of the domain share the regular checks
+// (serverChecker), so the lease holder's polls are only a fallback. At 211 servers they
+// make 0.35 polls/s, or 0.7 KB/s.
+const inSyncPollInterval = 10 * time.Minute
 
-// holdingDuties are what the instance does for its failure domain. They end
-// first in a shutdown, so that another instance takes over at once.
-func (i *Instance) holdingDuties() []supervise.Duty {
+// domainDuties returns the duties that the instance carries out for its failure domain and
+// for claim shards. They end first in a shutdown, so that other instances take over at once.
+func (i *Instance) domainDuties() []supervise.Duty {
 	return []supervise.Duty{
 		{Name: "control", Run: i.runControl},
 		{Name: "claim batchers", Run: i.batchers.Run},
-		{Name: "patrol", Run: i.patrol().run},
+		{Name: "patrol", Run: i.serverChecker().run},
 	}
 }
 
-// patrol returns the duty that shares the looks at the failure domain's servers.
-func (i *Instance) patrol() *patrol {
-	return &patrol{
-		own:     i.opts.Settings.Instance.ID,
-		domain:  i.domain(),
-		list:    i.watcher.List,
-		members: i.members(i.domain()),
-		view:    i.domains.ownFollower().View,
-		engine:  i.opts.Platform.Engine,
-		report:  i.missing.found,
-		booted:  i.caller.Booted,
-		metrics: i.vars("patrol"),
+// newServerChecker returns the duty that checks this instance's share of the failure
+// domain's servers.
+func (i *Instance) serverChecker() *serverChecker {
+	return &serverChecker{
+		ownID:      i.opts.Settings.Instance.ID,
+		domain:     i.domain(),
+		list:       i.watcher.List,
+		members:    i.members(i.domain()),
+		view:       i.controlFollowers.ownFollower().View,
+		engine:     i.opts.Platform.Engine,
+		report:     i.missingReports.enqueue,
+		reportBoot: i.caller.Booted,
+		metrics:    i.vars("patrol"),
 	}
 }
 
-// runControl runs a controller. Each run has a new one: a controller that
-// failed can't go on with what it knew.
+// runControl runs a controller. Each run creates a new one, because the state of a
+// controller that failed can't be trusted.
 func (i *Instance) runControl(ctx context.Context) error {
-	views := newControlViews(i.domains.ownFollower())
+	views := newControlViews(i.controlFollowers.ownFollower())
 	timing := i.opts.Settings.Timing
 	controller := control.New(control.Options{
 		Instance:      i.opts.Settings.Instance.ID,
@@ -61,19 +61,19 @@
 		Engine:        i.opts.Platform.Engine,
 		Appender:      i.writer,
 		Views:         views,
-		Others:        i.domains.others,
-		Config:        i.configuration.Config,
+		Others:        i.controlFollowers.otherViews,
+		Config:        i.configTracker.Config,
 		Lists:         i.watcher,
 		Store:         i.opts.Platform.Store,
 		Planner:       decide.NewPlanner(),
-		Demand:        collected{i.collector},
+		Demand:        demandSource{i.collector},
 		Applied:       i.peers,
 		Random:        rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Limits: control.Limits{
 			Lease:       timing.Lease.Value(),
 			OrderFlight: timing.OrderFlight.Value(),
 			PollEvery:   timing.StatusEvery.Value(),
-			PollQuiet:   quietEvery,
+			PollQuiet:   inSyncPollInterval,
 			PlanEvery:   timing.PlanEvery.Value(),
 		},
 		Log:     i.log,
@@ -86,23 +86,23 @@
 	)
 }
 
-// controlViews implements control.Views over a follower.
+// controlViews implements control.Views with a follower.
 type controlViews struct {
-	follower *controlFollower
-	changed  chan struct{} // full: a signal is pending already
-	complete atomic.Bool   // the stream was read to its end once
+	follower     *controlFollower
+	changed      chan struct{} // capacity 1; full if a signal is already pending
+	caughtUpOnce atomic.Bool   // the log was read to the stream's end at least once
 }
 
 func newControlViews(follower *controlFollower) *controlViews {
 	return &controlViews{follower: follower, changed: make(chan struct{}, 1)}
 }
 
-// run passes the follower's changes on until ctx ends.
+// run forwards the follower's change signals until ctx ends.
 func (v *controlViews) run(ctx context.Context) error {
 	for {
 		changed := v.follower.Changed()
 		if v.follower.Status().CaughtUp {
-			v.complete.Store(true)
+			v.caughtUpOnce.Store(true)
 		}
 		select {
 		case v.changed <- struct{}{}:
@@ -116,10 +116,10 @@
 	}
 }
 
-// View implements control.Views. A state that came from a peer alone doesn't
-// count: the peer may itself be behind.
+// View implements control.Views. It returns nil until the stream was read to its end once:
+// a state that came only from a peer may be out of date, because the peer may be behind.
 func (v *controlViews) View() *replay.ControlView {
-	if !v.complete.Load() {
+	if !v.caughtUpOnce.Load() {
 		return nil
 	}
 	return v.follower.View()
@@ -134,11 +134,11 @@
 	return !s.CaughtUp && time.Since(s.Read) > logDownAfter
 }
 
-// collected implements control.Demand over a collector.
-type collected struct{ *demand.Collector }
+// demandSource implements control.Demand with a collector.
+type demandSource struct{ *demand.Collector }
 
 // Demand implements control.Demand.
-func (c collected) Demand(ctx context.Context) (map[string]decide.Demand, map[string]infra.Load) {
+func (c demandSource) Demand(ctx context.Context) (map[string]decide.Demand, map[string]infra.Load) {
 	out := map[string]decide.Demand{}
 	for target, r := range c.Collect(ctx) {
 		out[target] = decide.Demand{RequestsPerSecond: r.Requests, TokensPerSecond: r.Tokens, RefusedPerSecond: r.Refused}
@@ -146,19 +146,20 @@
 	return out, c.Loads()
 }
 
-// observer implements caller.Observer: it meters demand and tells the
-// controller of servers that lack what they should hold.
+// observer implements caller.Observer. It meters demand, records the servers' load reports
+// and the use of model engines, and reports servers that lack an assigned model or adapter.
 type observer struct {
 	meter *demand.Meter
 	loads *demand.Loads
-	// domainOf returns a server's failure domain, or "" for one that has gone.
+	// domainOf returns a server's failure domain, or "" for a server that is not listed.
 	domainOf func(server string) string
 	table    func() *decide.Table
-	missing  func(server string)
-	used     func(server, addr string)
+	// missingReports queues a report that the server lacks an item.
+	missingReports func(server string)
+	markUsed       func(server, addr string)
 }
 
-// capacityReasons are the refusals that more replicas would have prevented.
+// capacityReasons are the reasons of refusals that more replicas would have prevented.
 var capacityReasons = map[decide.Reason]bool{
 	decide.ReasonDeadline:     true,
 	decide.ReasonQueueFull:    true,
@@ -167,15 +168,15 @@
 }
 
 // Decided implements caller.Observer.
-func (o *observer) Decided(target string, d decide.Decision) {
+func (o *observer) Decided(target string, decision decide.Decision) {
 	now := time.Now()
 	switch {
-	case d.Action == decide.ActionDispatch:
-		o.meter.Dispatched(now, target, d.Server.FailureDomain)
-		if d.Version != "" { // a model engine, and no plain service
-			o.used(d.Server.ID, d.Server.Addr)
+	case decision.Action == decide.ActionDispatch:
+		o.meter.Dispatched(now, target, decision.Server.FailureDomain)
+		if decision.Version != "" { // a model engine, not a plain service
+			o.markUsed(decision.Server.ID, decision.Server.Addr)
 		}
-	case d.Action == decide.ActionRefuse && capacityReasons[d.Reason]:
+	case decision.Action == decide.ActionRefuse && capacityReasons[decision.Reason]:
 		o.meter.Refused(now, target, servingDomains(o.table(), target))
 	}
 }
@@ -194,10 +195,10 @@
 }
 
 // NotResident implements caller.Observer.
-func (o *observer) NotResident(server string) { o.missing(server) }
+func (o *observer) NotResident(server string) { o.missingReports(server) }
 
-// servingDomains returns the failure domains where the target has replicas, or
-// the own one where it has none.
+// servingDomains returns the failure domains where the target has replicas, or the
+// instance's own if it has none.
 func servingDomains(t *decide.Table, target string) []string {
 	if t == nil {
 		return nil
@@ -218,15 +219,15 @@
 	return domains
 }
 
-// report returns what a failure domain was asked for through this instance, and
-// the loads of its servers that this instance used lately.
-func (i *Instance) report(domain string) demand.Report {
+// demandReport returns the demand on a failure domain that this instance metered, and the
+// recent load reports of the domain's servers.
+func (i *Instance) demandReport(domain string) demand.Report {
 	now := time.Now()
-	report := demand.Report{Rates: i.meter.Rates(now, domain), Loads: i.loads.Recent(now)}
-	for server := range report.Loads {
+	demandReport := demand.Report{Rates: i.meter.Rates(now, domain), Loads: i.loads.Recent(now)}
+	for server := range demandReport.Loads {
 		if i.domainOf(server) != domain {
-			delete(report.Loads, server)
+			delete(demandReport.Loads, server)
 		}
 	}
-	return report
+	return demandReport
 }
--- a/entry/listener.go
+++ b/entry/listener.go
@@ -11,9 +11,9 @@
 	"greengageferry/caller"
 )
 
-// closeTime is what connections have to end by themselves once everything in
-// flight is over.
-const closeTime = 2 * time.Second
+// closeTimeout is how long connections may take to close by themselves at shutdown, after
+// the requests in flight have ended.
+const closeTimeout = 2 * time.Second
 
 // listener is a duty that serves one of the instance's addresses.
 type listener struct {
@@ -22,7 +22,7 @@
 	handler http.Handler
 }
 
-// ListenError says that an address could not be taken.
+// ListenError reports that listening or serving on an address failed.
 type ListenError struct {
 	Name string // callers, peers or operators
 	Addr string
@@ -37,7 +37,7 @@
 // Unwrap returns the cause.
 func (e *ListenError) Unwrap() error { return e.Err }
 
-// listen takes an address.
+// listen opens a TCP listener on addr.
 func listen(name, addr string, handler http.Handler) (*listener, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -46,10 +46,10 @@
 	return &listener{name: name, net: l, handler: handler}, nil
 }
 
-// addr returns the address that was taken, as IP:port.
+// addr returns the address that the listener is bound to, as IP:port.
 func (l *listener) addr() string { return l.net.Addr().String() }
 
-// run serves until ctx ends, and then closes the address.
+// run serves until ctx ends and then closes the listener.
 func (l *listener) run(ctx context.Context) error {
 	server := &http.Server{Handler: l.handler}
 	caller.Configure(server)
@@ -60,10 +60,10 @@
 		return &ListenError{Name: l.name, Addr: l.addr(), Err: err}
 	case <-ctx.Done():
 	}
-	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTime)
+	closing, cancel := context.WithTimeout(context.WithoutCancel(ctx), closeTimeout)
 	defer cancel()
 	if err := server.Shutdown(closing); err != nil {
-		_ = server.Close() // what still hangs is cut: its time is over
+		_ = server.Close() // cuts the connections that are still open at the timeout
 	}
 	if err := <-served; !errors.Is(err, http.ErrServerClosed) {
 		return &ListenError{Name: l.name, Addr: l.addr(), Err: err}
--- a/entry/missing.go
+++ b/entry/missing.go
@@ -13,80 +13,83 @@
 )
 
 const (
-	// missingRing bounds the words that wait. Full: a word is dropped, and the
-	// next dispatch to the server says it again.
-	missingRing = 64
-	// missingEvery is the least time between two words about one server: a
-	// load takes seconds, and each request sent there until then finds the same.
-	missingEvery = 5 * time.Second
+	// missingBuffer bounds the queued reports. When the queue is full a report is
+	// dropped: the next request dispatched to the server causes another.
+	missingBuffer = 64
+	// missingReportInterval is the minimum time between two reports about one server.
+	// Loading a model takes seconds, and each request sent to the server until then
+	// meets the same error.
+	missingReportInterval = 5 * time.Second
 )
 
-// missing is a duty: it tells a backend server's lease holder that the server
-// lacks what it should hold. Requests find that out at once, so the holder need
-// not look at every server all the time.
-type missing struct {
-	own     string // this instance's id
-	ring    chan string
+// missingReports is a duty that reports a backend server that lacks an assigned model or
+// adapter to the lease holder of the server's failure domain. Requests notice this at once,
+// so the lease holder need not poll every server all the time.
+type missingReports struct {
+	ownID   string // id of this instance
+	queue   chan string
 	list    func() *fleet.List
 	views   func() map[string]*replay.ControlView
-	local   func(server string) // tells the own controller
-	tell    func(ctx context.Context, addr, server string) error
+	local   func(server string) // reports to this instance's own controller
+	remote  func(ctx context.Context, addr, server string) error
 	log     logrus.FieldLogger
 	metrics *expvar.Map
 }
 
-// found takes in a word; it never waits.
-func (m *missing) found(server string) {
+// enqueue queues a report about a server. It never blocks.
+func (m *missingReports) enqueue(server string) {
 	select {
-	case m.ring <- server:
+	case m.queue <- server:
 	default:
 		m.metrics.Add("missing_dropped", 1)
 	}
 }
 
-// run passes words on until ctx ends.
-func (m *missing) run(ctx context.Context) error {
-	told := map[string]time.Time{}
+// run forwards reports until ctx ends.
+func (m *missingReports) run(ctx context.Context) error {
+	reportedAt := map[string]time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case server := <-m.ring:
+		case server := <-m.queue:
 			now := time.Now()
-			if now.Sub(told[server]) < missingEvery {
+			if now.Sub(reportedAt[server]) < missingReportInterval {
 				continue
 			}
-			forget(told, now.Add(-missingEvery))
-			told[server] = now
-			m.pass(ctx, server)
+			expireReports(reportedAt, now.Add(-missingReportInterval))
+			reportedAt[server] = now
+			m.forward(ctx, server)
 		}
 	}
 }
 
-// forget drops what was told before then.
-func forget(told map[string]time.Time, then time.Time) {
-	for server, at := range told {
+// expireReports deletes the entries from before then.
+func expireReports(reportedAt map[string]time.Time, then time.Time) {
+	for server, at := range reportedAt {
 		if at.Before(then) {
-			delete(told, server)
+			delete(reportedAt, server)
 		}
 	}
 }
 
-// pass tells the own controller, which may restore a server while the log is
-// down, and the holder of the server's failure domain where that is another.
-func (m *missing) pass(ctx context.Context, server string) {
+// forward reports the server to this instance's own controller, which may restore a server
+// while the log is down, and to the lease holder of the server's failure domain if that is
+// another instance.
+func (m *missingReports) forward(ctx context.Context, server string) {
 	m.local(server)
 	holder, known := m.holder(server)
-	if !known || holder.ID == m.own {
+	if !known || holder.ID == m.ownID {
 		return
 	}
-	err := m.tell(ctx, holder.Addr, server)
+	err := m.remote(ctx, holder.Addr, server)
 	m.metrics.Add("missing_told", 1)
-	m.log.WithFields(logrus.Fields{"server": server, "holder": holder.ID, "error": err}).Info("server lacks what it should hold")
+	m.log.WithFields(logrus.Fields{"server": server, "holder": holder.ID, "error": err}).
+		Info("server lacks an assigned model or adapter")
 }
 
 // holder returns the lease holder of the server's failure domain.
-func (m *missing) holder(server string) (infra.Instance, bool) {
+func (m *missingReports) holder(server string) (infra.Instance, bool) {
 	list := m.list()
 	listed, known := list.Get(server)
 	if !known {
--- a/entry/missing_test.go
+++ b/entry/missing_test.go
@@ -14,7 +14,7 @@
 	"greengageferry/replay"
 )
 
-func TestHolderIsToldOfAServerThatLacksItsModelsOnceInAWhile(t *testing.T) {
+func TestMissingReportsToLeaseHolderAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := fleet.NewList(time.Time{}, []infra.Instance{
 			{ID: "s1", Role: infra.RoleEngine, FailureDomain: "porto-a"},
@@ -27,13 +27,13 @@
 			"pelotas": {Lease: replay.Lease{Holder: "own"}},
 		}
 		var local, told []string
-		m := &missing{
-			own:   "own",
-			ring:  make(chan string, missingRing),
+		m := &missingReports{
+			ownID: "own",
+			queue: make(chan string, missingBuffer),
 			list:  func() *fleet.List { return list },
 			views: func() map[string]*replay.ControlView { return views },
 			local: func(server string) { local = append(local, server) },
-			tell: func(_ context.Context, addr, server string) error {
+			remote: func(_ context.Context, addr, server string) error {
 				told = append(told, addr+" "+server)
 				return nil
 			},
@@ -44,15 +44,15 @@
 		ended := make(chan error, 1)
 		go func() { ended <- m.run(ctx) }()
 		for range 10 {
-			m.found("s1")
-			m.found("s2")
-			m.found("unlisted")
+			m.enqueue("s1")
+			m.enqueue("s2")
+			m.enqueue("unlisted")
 			synctest.Wait()
 		}
 		require.Equal(t, []string{"s1", "s2", "unlisted"}, local)
 		require.Equal(t, []string{"other's address s1"}, told)
-		time.Sleep(missingEvery)
-		m.found("s1")
+		time.Sleep(missingReportInterval)
+		m.enqueue("s1")
 		synctest.Wait()
 		require.Len(t, told, 2)
 		cancel()
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -8,20 +8,20 @@
 	"greengageferry/config"
 )
 
-// The operators' paths.
+// Paths on the operators' address.
 const (
-	PathLive    = "/livez"      // 200 while the process runs
-	PathReady   = "/readyz"     // 200 while callers may be sent here, else 503 with the reasons
-	PathMetrics = "/debug/vars" // expvar's form
+	PathLive    = "/livez"      // status 200 while the process runs
+	PathReady   = "/readyz"     // status 200 while the instance is ready for callers, else 503 with the reasons
+	PathMetrics = "/debug/vars" // JSON, as written by package expvar
 	PathStatus  = "/status"     // a Status
 	PathExplain = "/explain"    // a config.Explained: each setting with its source
 )
 
-// operatorsHandler serves the operators' address.
+// operatorsHandler returns the handler for the operators' address.
 func (i *Instance) operatorsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+PathLive, func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = io.WriteString(w, "ok\n") // a reader that has gone needs no answer
+		_, _ = io.WriteString(w, "ok\n") // fails only if the client has disconnected
 	})
 	mux.HandleFunc("GET "+PathReady, i.serveReady)
 	mux.HandleFunc("GET "+PathMetrics, i.serveMetrics)
@@ -30,14 +30,14 @@
 	return mux
 }
 
-// readiness is the answer of PathReady.
+// readiness is the JSON response of PathReady.
 type readiness struct {
 	Ready   bool     `json:"ready"`
 	Reasons []string `json:"reasons,omitempty"`
 }
 
 func (i *Instance) serveReady(w http.ResponseWriter, _ *http.Request) {
-	reasons := i.notReady()
+	reasons := i.notReadyReasons()
 	status := http.StatusOK
 	if len(reasons) > 0 {
 		status = http.StatusServiceUnavailable
@@ -46,40 +46,41 @@
 }
 
 func (i *Instance) serveExplain(w http.ResponseWriter, _ *http.Request) {
-	current := i.configuration.current.Load()
+	current := i.configTracker.current.Load()
 	if current == nil {
-		writeJSON(w, http.StatusServiceUnavailable, readiness{Reasons: i.notReady()})
+		writeJSON(w, http.StatusServiceUnavailable, readiness{Reasons: i.notReadyReasons()})
 		return
 	}
 	explained := config.Explain(current.config, current.provenance)
-	explained.Offset = current.changed
+	explained.Offset = current.offset
 	writeJSON(w, http.StatusOK, explained)
 }
 
 func (i *Instance) serveMetrics(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	_, _ = io.WriteString(w, i.metrics.String()) // a reader that has gone needs no answer
+	_, _ = io.WriteString(w, i.metrics.String()) // fails only if the client has disconnected
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // a reader that has gone needs no answer
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// notReady returns why callers shouldn't be sent here; none while they may be.
-func (i *Instance) notReady() []string {
+// notReadyReasons returns why callers should not be sent to this instance, or nil if it is
+// ready.
+func (i *Instance) notReadyReasons() []string {
 	var reasons []string
-	if i.leaving.Load() {
+	if i.shuttingDown.Load() {
 		reasons = append(reasons, "shutting down")
 	}
-	if i.configuration.Config() == nil {
+	if i.configTracker.Config() == nil {
 		reasons = append(reasons, "no configuration known")
 	}
 	if i.watcher.List() == nil {
 		reasons = append(reasons, "instance list never read")
 	}
-	if i.domains.ownFollower().View() == nil {
+	if i.controlFollowers.ownFollower().View() == nil {
 		reasons = append(reasons, "failure domain's control stream not known")
 	}
 	if i.table.Load() == nil {
--- a/entry/patrol.go
+++ b/entry/patrol.go
@@ -14,79 +14,81 @@
 )
 
 const (
-	// patrolRound is the time in which an instance looks at each server of its
-	// part once: a server that restarted empty and gets no requests is found
-	// within it. With 5 servers a part and some 2 KB a look it is 350 bytes a
-	// second; one instance alone would spend 14 KB/s on 211 servers.
-	patrolRound = 30 * time.Second
-	// patrolTime bounds one look.
-	patrolTime = 2 * time.Second
-	// patrolIdle is the time between two checks for a part that is empty.
-	patrolIdle = 5 * time.Second
+	// checkInterval is the time in which an instance checks each server of its share
+	// once. A server that restarted empty and gets no requests is found within this time.
+	// With 5 servers per share and some 2 KB per check this costs 350 bytes/s; a single
+	// instance that checked all 211 servers would spend 14 KB/s.
+	checkInterval = 30 * time.Second
+	// checkTimeout bounds one check.
+	checkTimeout = 2 * time.Second
+	// idleCheckInterval is the wait before the share is computed again if no server falls
+	// to the instance.
+	idleCheckInterval = 5 * time.Second
 )
 
-// patrol is a duty: the instances of a failure domain share the looks at its
-// backend servers, each server falling to one of them by rendezvous hashing. A
-// server that isn't as the log has it is reported to the lease holder, who then
-// looks at it closely. Two instances whose lists differ may both look at a
-// server, or neither for a round; neither does harm.
-type patrol struct {
-	own     string
-	domain  string
-	list    func() *fleet.List
-	members func() []string
-	view    func() *replay.ControlView
-	engine  infra.Engine
-	report  func(server string)
-	booted  func(server, boot string) // told of each server's process that was seen
-	metrics *expvar.Map
+// serverChecker is a duty that checks backend servers. The instances of a failure domain
+// divide its servers among themselves by rendezvous hashing. A server whose state differs
+// from the log is reported to the lease holder, which then polls the server itself.
+// Instances whose lists differ may check a server twice, or skip it for one round; both
+// are harmless.
+type serverChecker struct {
+	ownID      string
+	domain     string
+	list       func() *fleet.List
+	members    func() []string
+	view       func() *replay.ControlView
+	engine     infra.Engine
+	report     func(server string)
+	reportBoot func(server, boot string) // called with the boot id that a server reported
+	metrics    *expvar.Map
 }
 
-// run looks at one server after the other until ctx ends.
-func (p *patrol) run(ctx context.Context) error {
+// run checks one server after the other until ctx ends.
+func (p *serverChecker) run(ctx context.Context) error {
 	last := ""
 	for {
-		part := p.part()
-		wait := patrolIdle
-		if len(part) > 0 {
-			wait = patrolRound / time.Duration(len(part))
+		share := p.share()
+		wait := idleCheckInterval
+		if len(share) > 0 {
+			wait = checkInterval / time.Duration(len(share))
 		}
 		if !supervise.Pause(ctx, wait) {
 			return nil
 		}
-		if len(part) > 0 {
-			next := after(part, last)
-			p.look(ctx, next)
+		if len(share) > 0 {
+			next := nextServer(share, last)
+			p.check(ctx, next)
 			last = next.ID
 		}
 	}
 }
 
-// part returns the servers that fall to this instance, by id.
-func (p *patrol) part() []infra.Instance {
+// share returns the servers that this instance checks, ordered by id.
+func (p *serverChecker) share() []infra.Instance {
 	members := p.members()
 	return slices.DeleteFunc(p.list().Servers(p.domain), func(s infra.Instance) bool {
-		return rendezvous.Leader(s.ID, members) != p.own
+		return rendezvous.Leader(s.ID, members) != p.ownID
 	})
 }
 
-// after returns the first server of the part beyond the last one.
-func after(part []infra.Instance, last string) infra.Instance {
-	for _, s := range part {
+// nextServer returns the server that follows the id last, or the first one at the end.
+func nextServer(share []infra.Instance, last string) infra.Instance {
+	for _, s := range share {
 		if s.ID > last {
 			return s
 		}
 	}
-	return part[0]
+	return share[0]
 }
 
-// look asks one server, and reports it if it isn't as the log has it.
-func (p *patrol) look(ctx context.Context, s infra.Instance) {
+// check polls one server and reports a server that fails to answer or whose state differs
+// from the log.
+func (p *serverChecker) check(ctx context.Context, s infra.Instance) {
 	view := p.view()
 	if view == nil || view.Servers[s.ID] == nil {
-		return // the holder knows of it, or will
+		return // the lease holder discovers servers that the log does not have yet
 	}
-	ctx, cancel := context.WithTimeout(ctx, patrolTime)
+	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
 	status, err := p.engine.Status(ctx, s.Addr)
 	p.metrics.Add("looks", 1)
@@ -94,17 +96,17 @@
 		return
 	}
 	if err == nil {
-		p.booted(s.ID, status.Boot)
+		p.reportBoot(s.ID, status.Boot)
 	}
-	if err != nil || !asLogged(status, view.Servers[s.ID]) {
+	if err != nil || !matchesLog(status, view.Servers[s.ID]) {
 		p.metrics.Add("reported", 1)
 		p.report(s.ID)
 	}
 }
 
-// asLogged says whether a server still runs the process that the log has, with
-// everything that it is known to serve.
-func asLogged(status infra.ServerStatus, logged *replay.Server) bool {
+// matchesLog reports whether a server still runs the process that the log records, and
+// still has every item that the log records as ready.
+func matchesLog(status infra.ServerStatus, logged *replay.Server) bool {
 	if status.Boot != logged.Boot {
 		return false
 	}
--- a/entry/patrol_test.go
+++ b/entry/patrol_test.go
@@ -16,7 +16,7 @@
 	"greengageferry/replay"
 )
 
-// statusEngine answers with each server's status, and counts.
+// statusEngine answers status requests from a map and counts them by address.
 type statusEngine struct {
 	infra.Engine
 	mu     sync.Mutex
@@ -35,9 +35,10 @@
 	return status, nil
 }
 
-// TestInstancesShareTheLooks has 4 instances look at 40 servers: each server is
-// looked at once a round, by one of them, and what isn't as logged is reported.
-func TestInstancesShareTheLooks(t *testing.T) {
+// TestInstancesShareServerChecks runs 4 instances with 40 servers. Exactly one instance
+// checks each server once per interval, and servers whose state differs from the log are
+// reported.
+func TestInstancesShareServerChecks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		item := infra.Item{Model: "m", Version: "v"}
 		members := []string{"e0", "e1", "e2", "e3"}
@@ -61,12 +62,12 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan error, len(members))
 		for _, id := range members {
-			p := &patrol{
-				own: id, domain: "d", engine: engine, metrics: new(expvar.Map),
-				list:    func() *fleet.List { return list },
-				members: func() []string { return members },
-				view:    func() *replay.ControlView { return view },
-				booted:  func(string, string) {},
+			p := &serverChecker{
+				ownID: id, domain: "d", engine: engine, metrics: new(expvar.Map),
+				list:       func() *fleet.List { return list },
+				members:    func() []string { return members },
+				view:       func() *replay.ControlView { return view },
+				reportBoot: func(string, string) {},
 				report: func(server string) {
 					mu.Lock()
 					defer mu.Unlock()
@@ -75,7 +76,7 @@
 			}
 			go func() { ended <- p.run(ctx) }()
 		}
-		time.Sleep(10*patrolRound + time.Second)
+		time.Sleep(10*checkInterval + time.Second)
 		synctest.Wait()
 		cancel()
 		for range members {
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -16,18 +16,17 @@
 )
 
 const (
-	// QuarantineExpiry is how long a crash counts against a request: callers
-	// resend within minutes, and a server's software may have changed by the
-	// next day.
+	// QuarantineExpiry is how long a server's crash counts against the request that
+	// caused it. Callers resend within minutes, and the servers' software may have
+	// changed by the next day.
 	QuarantineExpiry = 6 * time.Hour
-	// crashReportTime bounds how long a crash is tried to be put on the log: it
-	// outlasts a short outage, and the report is of use only while the caller
-	// may send the request again.
-	crashReportTime = time.Minute
+	// crashReportTimeout bounds the attempts to append a crash to the log. It outlasts a
+	// short outage. A crash report is useful only while the caller may resend the request.
+	crashReportTimeout = time.Minute
 )
 
-// quarantine implements caller.Quarantine over the log's stream and the lifts
-// in force.
+// quarantine implements caller.Quarantine with the log's quarantine stream and with the
+// lifts in the configuration, by which operators end the quarantine of a request.
 type quarantine struct {
 	config   func() *config.Config
 	follower *logsync.Follower[replay.QuarantineView]
@@ -47,8 +46,8 @@
 	return view != nil && view.Suspect(fingerprint, q.since(fingerprint))
 }
 
-// since returns the time from which crashes count against a request: its
-// expiry ago, or what a lift says if that is later.
+// since returns the time from which crashes count against a request: QuarantineExpiry ago,
+// or the time that a lift names if that is later.
 func (q *quarantine) since(fingerprint [32]byte) time.Time {
 	since := time.Now().Add(-QuarantineExpiry)
 	cfg := q.config()
@@ -62,10 +61,10 @@
 	return since
 }
 
-// Crashed implements caller.Quarantine. It returns once the crash is on the log
-// or can't be put there.
+// Crashed implements caller.Quarantine. It returns once the crash is on the log or
+// crashReportTimeout has passed.
 func (q *quarantine) Crashed(ctx context.Context, c *record.Crash) {
-	ctx, cancel := context.WithTimeout(ctx, crashReportTime)
+	ctx, cancel := context.WithTimeout(ctx, crashReportTimeout)
 	defer cancel()
 	_, err := q.appender.Append(ctx, infra.StreamQuarantine, &record.Record{Body: &record.Record_Crash{Crash: c}})
 	entry := q.log.WithFields(logrus.Fields{"server": c.GetServer(), "boot": c.GetBoot(), "together": c.GetTogether()})
@@ -76,7 +75,7 @@
 	entry.Info("crash reported")
 }
 
-// status returns the requests that crashes count against.
+// suspectStatus returns the requests against which crashes count, sorted by fingerprint.
 func (q *quarantine) status() []SuspectStatus {
 	view := q.follower.View()
 	if view == nil {
--- a/entry/quarantine_test.go
+++ b/entry/quarantine_test.go
@@ -11,7 +11,7 @@
 	"greengageferry/config"
 )
 
-func TestLiftForgivesWhatWasBeforeItOnly(t *testing.T) {
+func TestLiftDiscardsOnlyEarlierCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		fingerprint := [32]byte{1}
 		cfg := &config.Config{}
@@ -24,8 +24,8 @@
 		}
 		lift(now.Add(-time.Minute))
 		require.Equal(t, now.Add(-time.Minute), q.since(fingerprint))
-		require.Equal(t, now.Add(-QuarantineExpiry), q.since([32]byte{2}), "another request's")
+		require.Equal(t, now.Add(-QuarantineExpiry), q.since([32]byte{2}), "the lift names another request")
 		lift(now.Add(-2 * QuarantineExpiry))
-		require.Equal(t, now.Add(-QuarantineExpiry), q.since(fingerprint), "an old lift brings nothing back")
+		require.Equal(t, now.Add(-QuarantineExpiry), q.since(fingerprint), "a lift from before the expiry has no effect")
 	})
 }
--- a/entry/routing.go
+++ b/entry/routing.go
@@ -15,36 +15,36 @@
 	"greengageferry/replay"
 )
 
-// routingEvery is the least time between two routing tables. Together with the
-// list's second it keeps new work from a leaving server within the 3 s that are
-// promised, and it bounds what tables cost while many models move.
-const routingEvery = 250 * time.Millisecond
+// routingInterval is the minimum time between two routing tables. With the list's 1 s
+// polling interval it keeps the promise that a leaving server gets no new work after 3 s,
+// and it bounds the cost of rebuilding while many models move.
+const routingInterval = 250 * time.Millisecond
 
-// routing is a duty: it builds the routing table anew when what it rests on has
-// changed. Comparing a few pointers each time is cheaper and simpler than being
-// told by every source.
-type routing struct {
-	domain   string
-	config   func() *config.Config
-	list     func() *fleet.List
-	controls func() map[string]*replay.ControlView
-	publish  func(*decide.Table)
-	log      logrus.FieldLogger
+// tableBuilder is a duty that rebuilds the routing table when one of its inputs has changed.
+// Comparing a few pointers at each tick is simpler and cheaper than change notifications
+// from every source.
+type tableBuilder struct {
+	domain       string
+	config       func() *config.Config
+	list         func() *fleet.List
+	controlViews func() map[string]*replay.ControlView
+	publish      func(*decide.Table)
+	log          logrus.FieldLogger
 }
 
-// inputs are what the last table was built from.
-type inputs struct {
-	config   *config.Config
-	list     []infra.Instance
-	controls map[string]*replay.ControlView
+// tableInputs holds what a table was built from.
+type tableInputs struct {
+	config       *config.Config
+	list         []infra.Instance
+	controlViews map[string]*replay.ControlView
 }
 
-func (r *routing) run(ctx context.Context) error {
-	ticker := time.NewTicker(routingEvery)
+func (b *tableBuilder) run(ctx context.Context) error {
+	ticker := time.NewTicker(routingInterval)
 	defer ticker.Stop()
-	var last inputs
+	var last tableInputs
 	for {
-		last = r.refresh(last)
+		last = b.refresh(last)
 		select {
 		case <-ctx.Done():
 			return nil
@@ -53,42 +53,43 @@
 	}
 }
 
-// refresh publishes a new table if its inputs have changed, and returns them.
-func (r *routing) refresh(last inputs) inputs {
-	list := r.list()
-	now := inputs{config: r.config(), controls: r.controls()}
+// refresh publishes a new table if the inputs differ from last, and returns the inputs of
+// the newest table.
+func (b *tableBuilder) refresh(last tableInputs) tableInputs {
+	list := b.list()
+	now := tableInputs{config: b.config(), controlViews: b.controlViews()}
 	if list != nil {
 		now.list = list.Instances
 	}
-	if now.config == nil || list == nil || same(now, last) {
+	if now.config == nil || list == nil || sameInputs(now, last) {
 		return last
 	}
-	table := fleet.BuildTable(r.domain, now.config, list, now.controls)
-	r.publish(table)
-	r.log.WithFields(logrus.Fields{
+	table := fleet.BuildTable(b.domain, now.config, list, now.controlViews)
+	b.publish(table)
+	b.log.WithFields(logrus.Fields{
 		"servers":   len(table.Servers),
 		"targets":   len(table.Targets),
-		"unplaced":  unplaced(table),
-		"domains":   len(now.controls),
+		"unplaced":  countUnplaced(table),
+		"domains":   len(now.controlViews),
 		"entries":   len(table.Entries),
 		"instances": len(now.list),
 	}).Info("routing table changed")
 	return now
 }
 
-// same says whether two tables would be the same.
-func same(a, b inputs) bool {
-	return a.config == b.config && sameList(a.list, b.list) && maps.EqualFunc(a.controls, b.controls, sameServers)
+// sameInputs reports whether a and b would give the same table.
+func sameInputs(a, b tableInputs) bool {
+	return a.config == b.config && sameList(a.list, b.list) && maps.EqualFunc(a.controlViews, b.controlViews, sameServers)
 }
 
-// sameServers says whether two views share their servers, as they do unless
-// something there has changed: a lease's renewal alone makes no new table.
+// sameServers reports whether two views share their map of servers. Views share the map
+// until a server changes, so a lease renewal alone causes no new table.
 func sameServers(a, b *replay.ControlView) bool {
 	return reflect.ValueOf(a.Servers).Pointer() == reflect.ValueOf(b.Servers).Pointer()
 }
 
-// sameList says whether it is the same list, which the watcher keeps while
-// nothing in it changes.
+// sameList reports whether a and b are the same slice. The watcher keeps the slice while
+// the list does not change.
 func sameList(a, b []infra.Instance) bool {
 	if len(a) != len(b) {
 		return false
@@ -96,8 +97,8 @@
 	return len(a) == 0 || &a[0] == &b[0]
 }
 
-// unplaced counts the targets without a ready replica.
-func unplaced(t *decide.Table) int {
+// countUnplaced returns the number of targets without a ready replica.
+func countUnplaced(t *decide.Table) int {
 	n := 0
 	for _, target := range t.Targets {
 		if len(target.Replicas) == 0 {
--- a/entry/run.go
+++ b/entry/run.go
@@ -10,24 +10,24 @@
 	"greengageferry/supervise"
 )
 
-// Run runs the instance until ctx ends and then shuts it down gracefully: it is
-// taken out of readiness and gives up what it holds for its failure domain,
-// serves on for the settings' delay while balancers notice, refuses new work,
-// lets each request in flight end, and stops. It returns nil then, or a
-// *supervise.GaveUpError if a duty failed for good.
+// Run runs the instance until ctx ends and then shuts it down gracefully: the instance
+// becomes not ready and ends its duties for its failure domain, keeps serving for the
+// shutdown delay while load balancers notice, refuses new requests, waits up to the
+// shutdown limit for the requests in flight, and stops. Run returns nil after a graceful
+// shutdown, or a *supervise.RestartLimitError if a duty failed for good.
 func (i *Instance) Run(ctx context.Context) error {
-	base, stopBase := context.WithCancel(context.WithoutCancel(ctx))
+	baseCtx, stopBase := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopBase()
-	holding, stopHolding := context.WithCancel(base)
-	defer stopHolding()
+	domainCtx, stopDomain := context.WithCancel(baseCtx)
+	defer stopDomain()
 
-	group, failed := errgroup.WithContext(base)
+	group, failed := errgroup.WithContext(baseCtx)
 	options := supervise.Options{Log: i.log}
-	group.Go(func() error { return supervise.Run(base, options, i.baseDuties(options)...) })
-	held := make(chan struct{})
+	group.Go(func() error { return supervise.Run(baseCtx, options, i.baseDuties(options)...) })
+	domainEnded := make(chan struct{})
 	group.Go(func() error {
-		defer close(held)
-		return supervise.Run(holding, options, i.holdingDuties()...)
+		defer close(domainEnded)
+		return supervise.Run(domainCtx, options, i.domainDuties()...)
 	})
 	i.log.WithFields(logrus.Fields{
 		"callers":   i.CallersAddr(),
@@ -38,54 +38,56 @@
 
 	select {
 	case <-ctx.Done():
-		i.shutDown(stopHolding, held)
+		i.shutDown(stopDomain, domainEnded)
 	case <-failed.Done():
 	}
-	stopHolding()
+	stopDomain()
 	stopBase()
 	err := group.Wait()
 	i.log.WithField("error", err).Info("instance ended")
 	return err
 }
 
-// shutDown ends what the instance does for others, in order.
-func (i *Instance) shutDown(stopHolding context.CancelFunc, held <-chan struct{}) {
+// shutDown makes the instance not ready, ends its duties for its failure domain and drains
+// the requests in flight, in this order.
+func (i *Instance) shutDown(stopDomain context.CancelFunc, domainEnded <-chan struct{}) {
 	timing := i.opts.Settings.Timing
-	i.leaving.Store(true)
-	i.log.WithField("delay", timing.ShutdownDelay.Value()).Info("shutting down: not ready any more")
-	stopHolding()
+	i.shuttingDown.Store(true)
+	i.log.WithField("delay", timing.ShutdownDelay.Value()).Info("shutting down: not ready")
+	stopDomain()
 	time.Sleep(timing.ShutdownDelay.Value())
 	i.caller.Drain()
 	limit := time.NewTimer(timing.ShutdownLimit.Value())
 	defer limit.Stop()
 	select {
 	case <-i.caller.Idle():
-		i.log.Info("shutting down: nothing in flight")
+		i.log.Info("shutting down: no requests in flight")
 	case <-limit.C:
-		i.log.Warn("shutting down: requests in flight were cut at the limit")
+		i.log.Warn("shutting down: limit reached, canceling the requests in flight")
 	}
-	<-held
+	<-domainEnded
 }
 
-// baseDuties are what every other duty needs, and what serves callers.
+// baseDuties returns the duties that last until the end of a shutdown: those that follow and
+// write the log, and those that serve callers, peers and operators.
 func (i *Instance) baseDuties(options supervise.Options) []supervise.Duty {
 	log := supervise.Tree("log", options,
 		supervise.Duty{Name: "writer", Run: i.writer.Run},
-		supervise.Duty{Name: "follower config", Run: i.config.Run},
-		supervise.Duty{Name: "follower quarantine", Run: i.quarantined.Run},
-		supervise.Duty{Name: "control followers", Run: i.domains.run},
-		supervise.Duty{Name: "configuration", Run: i.configuration.run},
-		supervise.Duty{Name: "judge", Run: i.judge().Run},
-		supervise.Duty{Name: "checkpoints config", Run: i.checkpointer(i.config, "").Run},
-		supervise.Duty{Name: "checkpoints quarantine", Run: i.checkpointer(i.quarantined, "").Run},
-		supervise.Duty{Name: "checkpoints control", Run: i.checkpointer(i.domains.ownFollower(), i.domain()).Run},
+		supervise.Duty{Name: "follower config", Run: i.configStream.Run},
+		supervise.Duty{Name: "follower quarantine", Run: i.quarantineStream.Run},
+		supervise.Duty{Name: "control followers", Run: i.controlFollowers.run},
+		supervise.Duty{Name: "configuration", Run: i.configTracker.run},
+		supervise.Duty{Name: "judge", Run: i.configValidator().Run},
+		supervise.Duty{Name: "checkpoints config", Run: i.checkpointer(i.configStream, "").Run},
+		supervise.Duty{Name: "checkpoints quarantine", Run: i.checkpointer(i.quarantineStream, "").Run},
+		supervise.Duty{Name: "checkpoints control", Run: i.checkpointer(i.controlFollowers.ownFollower(), i.domain()).Run},
 	)
 	serving := supervise.Tree("serving", options,
 		supervise.Duty{Name: "instance list", Run: i.watcher.Run},
-		supervise.Duty{Name: "routing", Run: i.routing.run},
+		supervise.Duty{Name: "routing", Run: i.tableBuilder.run},
 		supervise.Duty{Name: "caller", Run: i.caller.Run},
-		supervise.Duty{Name: "missing", Run: i.missing.run},
-		supervise.Duty{Name: "cache hints", Run: i.hints.run},
+		supervise.Duty{Name: "missing", Run: i.missingReports.run},
+		supervise.Duty{Name: "cache hints", Run: i.cachePoller.run},
 		supervise.Duty{Name: "claims", Run: i.claimer.Run},
 	)
 	duties := []supervise.Duty{log, serving}
--- a/entry/status.go
+++ b/entry/status.go
@@ -10,15 +10,15 @@
 	"greengageferry/logsync"
 )
 
-// Status is what one instance sees, as its operators' address gives it.
+// Status is an instance's view of the system, as served on PathStatus.
 type Status struct {
 	Version       string          `json:"version"`
 	Instance      string          `json:"instance"`
 	Region        string          `json:"region"`
 	FailureDomain string          `json:"failure_domain"`
 	Ready         bool            `json:"ready"`
-	NotReady      []string        `json:"not_ready,omitempty"` // why it isn't
-	ConfigOffset  uint64          `json:"config_offset"`       // verdict that is in force; 0: none
+	NotReady      []string        `json:"not_ready,omitempty"` // reasons why it is not ready
+	ConfigOffset  uint64          `json:"config_offset"`       // log offset of the verdict that put the configuration in force; 0: none
 	Streams       []StreamStatus  `json:"streams"`
 	List          ListStatus      `json:"list"`
 	Leases        []LeaseStatus   `json:"leases"`
@@ -27,62 +27,62 @@
 	Suspects      []SuspectStatus `json:"suspects,omitempty"`
 }
 
-// SuspectStatus is a request during which backend servers died lately.
+// SuspectStatus is a request during which backend servers crashed recently.
 type SuspectStatus struct {
-	Fingerprint string   `json:"fingerprint"` // what a lift names
-	Servers     []string `json:"servers"`     // that died
+	Fingerprint string   `json:"fingerprint"` // in hexadecimal; a lift in the configuration names it
+	Servers     []string `json:"servers"`     // ids of the crashed servers
 	Quarantined bool     `json:"quarantined"`
 }
 
-// StreamStatus is how far a stream of the log was read.
+// StreamStatus is how far the instance has read a stream of the log.
 type StreamStatus struct {
 	Stream   string `json:"stream"`
 	Offset   uint64 `json:"offset"`
-	Behind   uint64 `json:"behind"`    // records known to be there and not applied yet
-	AgeMS    int64  `json:"age_ms"`    // since the log last answered; -1: never
-	FromPeer bool   `json:"from_peer"` // the state came from a peer, and the log was not read since
+	Behind   uint64 `json:"behind"`    // records on the log that are not applied yet
+	AgeMS    int64  `json:"age_ms"`    // milliseconds since the last successful read; -1: never
+	FromPeer bool   `json:"from_peer"` // the state came from a peer, and the log has not been read since
 }
 
-// ListStatus is what the platform's list says.
+// ListStatus summarizes the platform's instance list.
 type ListStatus struct {
-	AgeMS   int64 `json:"age_ms"` // -1: never read
-	Entries int   `json:"entries"`
-	Servers int   `json:"servers"`
+	AgeMS   int64 `json:"age_ms"`  // milliseconds since the list was read; -1: never
+	Entries int   `json:"entries"` // number of entry instances
+	Servers int   `json:"servers"` // number of backend servers
 }
 
 // LeaseStatus is a failure domain's placement lease.
 type LeaseStatus struct {
 	FailureDomain string `json:"failure_domain"`
-	Lease         uint64 `json:"lease"` // the claim's offset; 0: none
+	Lease         uint64 `json:"lease"` // log offset of the lease's claim; 0: none
 	Holder        string `json:"holder"`
-	Orderers      int    `json:"orderers"`
+	Orderers      int    `json:"orderers"` // instances that may send orders to the servers
 }
 
-// ServerStatus is what the log says of a backend server that runs a model engine.
+// ServerStatus is the state on the log of a backend server that runs a model engine.
 type ServerStatus struct {
 	Server        string   `json:"server"`
 	FailureDomain string   `json:"failure_domain"`
-	Listed        string   `json:"listed"` // its state on the list; empty: not there
+	Listed        string   `json:"listed"` // state on the instance list; empty: not listed
 	Assignment    uint64   `json:"assignment"`
 	MemoryMiB     int64    `json:"memory_mib"`
 	AssignedMiB   int64    `json:"assigned_mib"`
-	LingeringMiB  int64    `json:"lingering_mib"`
+	LingeringMiB  int64    `json:"lingering_mib"` // memory of unassigned items that may still be loaded
 	Assigned      []string `json:"assigned"`
 	Ready         []string `json:"ready"`
 	Lingering     []string `json:"lingering,omitempty"`
 }
 
-// TargetStatus is how many replicas a model, adapter or service has.
+// TargetStatus is the number of ready replicas of a model, adapter or service.
 type TargetStatus struct {
 	Target   string `json:"target"`
 	Partner  string `json:"partner"`
 	Replicas int    `json:"replicas"`
-	Domains  int    `json:"failure_domains"` // in how many
+	Domains  int    `json:"failure_domains"` // number of failure domains with a replica
 }
 
-// Status gathers what the instance sees.
+// Status returns the instance's current view of the system.
 func (i *Instance) Status() Status {
-	reasons := i.notReady()
+	reasons := i.notReadyReasons()
 	s := Status{
 		Version:       i.opts.Version,
 		Instance:      i.opts.Settings.Instance.ID,
@@ -93,21 +93,21 @@
 		List:          listStatus(i.watcher.List()),
 		Targets:       targetStatus(i.table.Load()),
 	}
-	if current := i.configuration.current.Load(); current != nil {
-		s.ConfigOffset = current.changed
+	if current := i.configTracker.current.Load(); current != nil {
+		s.ConfigOffset = current.offset
 	}
 	s.Streams = i.streamStatus()
-	s.addControl(i)
+	s.addControlStatus(i)
 	s.Suspects = i.quarantine.status()
 	return s
 }
 
 func (i *Instance) streamStatus() []StreamStatus {
 	streams := []StreamStatus{
-		streamStatus(i.config.Stream(), i.config.Status()),
-		streamStatus(i.quarantined.Stream(), i.quarantined.Status()),
+		streamStatus(i.configStream.Stream(), i.configStream.Status()),
+		streamStatus(i.quarantineStream.Stream(), i.quarantineStream.Status()),
 	}
-	for _, follower := range *i.domains.followers.Load() {
+	for _, follower := range *i.controlFollowers.followers.Load() {
 		streams = append(streams, streamStatus(follower.Stream(), follower.Status()))
 	}
 	sort.Slice(streams, func(a, b int) bool { return streams[a].Stream < streams[b].Stream })
@@ -115,7 +115,7 @@
 }
 
 func streamStatus(stream string, s logsync.Status) StreamStatus {
-	out := StreamStatus{Stream: stream, Offset: uint64(s.Offset), AgeMS: age(s.Read), FromPeer: s.FromPeer}
+	out := StreamStatus{Stream: stream, Offset: uint64(s.Offset), AgeMS: ageMS(s.Read), FromPeer: s.FromPeer}
 	if s.Next > s.Offset+1 {
 		out.Behind = uint64(s.Next - s.Offset - 1)
 	}
@@ -127,13 +127,13 @@
 		return ListStatus{AgeMS: -1}
 	}
 	servers := list.Select(func(i infra.Instance) bool { return i.Role != infra.RoleEntry })
-	return ListStatus{AgeMS: age(list.Read), Entries: len(list.Entries("")), Servers: len(servers)}
+	return ListStatus{AgeMS: ageMS(list.Read), Entries: len(list.Entries("")), Servers: len(servers)}
 }
 
-// addControl adds what the control streams say.
-func (s *Status) addControl(i *Instance) {
+// addControlStatus adds the leases and servers of the control streams' views.
+func (s *Status) addControlStatus(i *Instance) {
 	list := i.watcher.List()
-	for domain, view := range i.domains.views() {
+	for domain, view := range i.controlFollowers.views() {
 		s.Leases = append(s.Leases, LeaseStatus{
 			FailureDomain: domain,
 			Lease:         uint64(view.Lease.ID),
@@ -148,11 +148,11 @@
 				Listed:        string(listed.State),
 				Assignment:    uint64(server.Assignment),
 				MemoryMiB:     server.MemoryMiB,
-				AssignedMiB:   sum(server.Assigned),
-				LingeringMiB:  sum(server.Lingering),
-				Assigned:      names(server.Assigned),
-				Ready:         names(server.Ready),
-				Lingering:     names(server.Lingering),
+				AssignedMiB:   totalMiB(server.Assigned),
+				LingeringMiB:  totalMiB(server.Lingering),
+				Assigned:      itemNames(server.Assigned),
+				Ready:         itemNames(server.Ready),
+				Lingering:     itemNames(server.Lingering),
 			})
 		}
 	}
@@ -166,18 +166,18 @@
 	}
 	out := make([]TargetStatus, 0, len(t.Targets))
 	for _, target := range t.Targets {
-		in := map[string]bool{}
+		domains := map[string]bool{}
 		for _, r := range target.Replicas {
-			in[t.Servers[r.Server].FailureDomain] = true
+			domains[t.Servers[r.Server].FailureDomain] = true
 		}
-		out = append(out, TargetStatus{Target: target.Name, Partner: target.Partner, Replicas: len(target.Replicas), Domains: len(in)})
+		out = append(out, TargetStatus{Target: target.Name, Partner: target.Partner, Replicas: len(target.Replicas), Domains: len(domains)})
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Target < out[b].Target })
 	return out
 }
 
-// names gives items as name@version, an adapter by its own name.
-func names(items []infra.Item) []string {
+// itemNames returns each item as name@version, where an adapter has its own name.
+func itemNames(items []infra.Item) []string {
 	out := make([]string, 0, len(items))
 	for _, item := range items {
 		name := item.Model
@@ -189,7 +189,7 @@
 	return out
 }
 
-func sum(items []infra.Item) int64 {
+func totalMiB(items []infra.Item) int64 {
 	var mib int64
 	for _, item := range items {
 		mib += item.MiB
@@ -197,8 +197,8 @@
 	return mib
 }
 
-// age returns the milliseconds since then, or -1 for the zero time.
-func age(then time.Time) int64 {
+// ageMS returns the milliseconds since then, or -1 for the zero time.
+func ageMS(then time.Time) int64 {
 	if then.IsZero() {
 		return -1
 	}
--- a/entry/transport.go
+++ b/entry/transport.go
@@ -11,40 +11,41 @@
 )
 
 const (
-	// dialTime bounds a connection's start. Failure domains are half a
-	// millisecond apart and regions some tens, so a second without an answer is
-	// a cut; no byte of the request has left then, and it is tried elsewhere.
-	dialTime = time.Second
-	// A peer that has vanished without a word, in a cut or a freeze of its
-	// instance, is noticed on an idle or waiting connection after some 9 s.
+	// dialTimeout bounds the setup of a connection. Round trips take 0.5 ms between
+	// failure domains and tens of milliseconds between regions, so a second without an
+	// answer means a network partition. Nothing of the request has been sent at that
+	// point, so it can safely be retried elsewhere.
+	dialTimeout = time.Second
+	// TCP keep-alive detects a peer that vanished silently, through a partition or a
+	// frozen process, after about 9 s on an idle or waiting connection.
 	keepAliveIdle     = 5 * time.Second
 	keepAliveInterval = 2 * time.Second
 	keepAliveCount    = 2
-	// idleConns and idleConnsPerServer keep connections to the backend servers
-	// that this instance is using, for as long as a burst may come back.
-	idleConns          = 1024
-	idleConnsPerServer = 32
-	idleConnTime       = 90 * time.Second
+	// The limits on idle connections keep those to the backend servers in use open
+	// between two bursts of requests.
+	maxIdleConns          = 1024
+	maxIdleConnsPerServer = 32
+	idleConnTimeout       = 90 * time.Second
 )
 
-// Dial opens a connection, as net.Dialer's DialContext does.
+// Dial opens a connection; it has the signature of net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// transport returns an HTTP transport with the instance's own limits. A nil
-// dial means TCP.
-func transport(dial Dial) *http.Transport {
+// newTransport returns an HTTP transport with this package's timeouts and connection
+// limits. A nil dial means TCP.
+func newTransport(dial Dial) *http.Transport {
 	if dial == nil {
 		dial = dialTCP
 	}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			ctx, cancel := context.WithTimeout(ctx, dialTime)
+			ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 			defer cancel()
 			return dial(ctx, network, addr)
 		},
-		MaxIdleConns:        idleConns,
-		MaxIdleConnsPerHost: idleConnsPerServer,
-		IdleConnTimeout:     idleConnTime,
+		MaxIdleConns:        maxIdleConns,
+		MaxIdleConnsPerHost: maxIdleConnsPerServer,
+		IdleConnTimeout:     idleConnTimeout,
 	}
 }
 
@@ -60,10 +61,10 @@
 	return dialer.DialContext(ctx, network, addr)
 }
 
-// httpPlatform returns clients for the settings' addresses. Engines and
-// services get no timeout of the client's own: each call's context has one.
+// httpPlatform returns HTTP clients for the platform addresses in the settings. The clients
+// have no timeout of their own: the context of each call has a deadline.
 func httpPlatform(s *settings.Settings, dial Dial) Platform {
-	client := &http.Client{Transport: transport(dial)}
+	client := &http.Client{Transport: newTransport(dial)}
 	return Platform{
 		Log:       infra.NewHTTPLog(string(s.Platform.Log), client),
 		Instances: infra.NewHTTPInstances(string(s.Platform.Instances), client),
--- a/entry/wiring.go
+++ b/entry/wiring.go
@@ -17,24 +17,24 @@
 	"greengageferry/supervise"
 )
 
-// vars names a component's vars within the instance's metrics.
+// newMetrics adds an empty map for a component to the instance's metrics and returns it.
 func (i *Instance) vars(name string) *expvar.Map {
 	m := new(expvar.Map)
 	i.metrics.Set(name, m)
 	return m
 }
 
-// wireList makes what follows the platform's list.
+// wireList creates the watcher of the platform's instance list.
 func (i *Instance) wireList() {
 	every := i.opts.Settings.Timing.ListEvery.Value()
 	i.watcher = fleet.NewWatcher(i.opts.Platform.Instances, every, i.log, i.vars("list"))
 }
 
-// wireStreams makes what follows and writes the log.
+// wireStreams creates the followers and the writer of the log's streams.
 func (i *Instance) wireStreams() {
 	s := i.opts.Settings
 	vars := i.vars("log")
-	i.config = logsync.NewFollower(logsync.FollowerOptions[replay.ConfigView]{
+	i.configStream = logsync.NewFollower(logsync.FollowerOptions[replay.ConfigView]{
 		Log:     i.opts.Platform.Log,
 		Stream:  infra.StreamConfig,
 		New:     func(infra.Offset) logsync.State[replay.ConfigView] { return replay.NewConfig() },
@@ -42,7 +42,7 @@
 		Logger:  i.log,
 		Metrics: vars,
 	})
-	i.quarantined = logsync.NewFollower(logsync.FollowerOptions[replay.QuarantineView]{
+	i.quarantineStream = logsync.NewFollower(logsync.FollowerOptions[replay.QuarantineView]{
 		Log:     i.opts.Platform.Log,
 		Stream:  infra.StreamQuarantine,
 		New:     func(infra.Offset) logsync.State[replay.QuarantineView] { return replay.NewQuarantine() },
@@ -53,22 +53,23 @@
 	i.writer = logsync.NewWriter(logsync.WriterOptions{
 		Log:     i.opts.Platform.Log,
 		Origin:  s.Instance.ID + "/" + uuid.NewString(),
-		Budget:  i.budget(),
+		Budget:  i.appendBudget(),
 		Logger:  i.log,
 		Metrics: vars,
 	})
-	i.configuration = newConfiguration(i.config, i.log)
-	i.domains = newDomains(i.domain(), i.configuration.Config, i.followControl(vars), supervise.Options{Log: i.log})
+	i.configTracker = newConfigTracker(i.configStream, i.log)
+	i.controlFollowers = newControlFollowers(i.domain(), i.configTracker.Config, i.newControlFollower(vars), supervise.Options{Log: i.log})
 }
 
-// otherDomainSpacing is the least time between two reads of another failure
-// domain's control stream. Its lease's renewals, three in 8 s, are of no use
-// here; eight streams read at each of them would be 3 reads a second, most of a
-// node's bytes for control. It adds to how late a move there is seen here.
+// otherDomainSpacing is the minimum time between two reads of another failure domain's
+// control stream. The lease renewals there, three in 8 s, do not matter to this instance,
+// and reading eight streams at each renewal would make 3 reads/s, most of the instance's
+// control traffic. The spacing adds to the delay until a change of placement there is seen.
 const otherDomainSpacing = 6 * time.Second
 
-// followControl returns how to follow a failure domain's control stream.
-func (i *Instance) followControl(vars *expvar.Map) func(string) *controlFollower {
+// newControlFollower returns a function that creates the follower of a failure domain's
+// control stream.
+func (i *Instance) newControlFollower(vars *expvar.Map) func(string) *controlFollower {
 	return func(domain string) *controlFollower {
 		spacing := otherDomainSpacing
 		if domain == i.domain() {
@@ -89,8 +90,9 @@
 // domain returns the instance's failure domain.
 func (i *Instance) domain() string { return i.opts.Settings.Instance.FailureDomain }
 
-// members returns the ids of the live entry instances of a failure domain, or
-// of all where domain is empty. The instance counts itself while the list lags.
+// members returns a function that lists the ids of the live entry instances of a failure
+// domain, or of all failure domains if domain is empty. The result always includes this
+// instance, even if the list does not have it yet.
 func (i *Instance) members(domain string) func() []string {
 	return func() []string {
 		own := i.opts.Settings.Instance.ID
@@ -104,10 +106,11 @@
 	}
 }
 
-// judge returns the duty that gives configuration changes their verdicts.
-func (i *Instance) judge() *logsync.Judge {
+// configValidator returns the duty that validates configuration changes and writes the
+// verdicts to the log.
+func (i *Instance) configValidator() *logsync.Judge {
 	return logsync.NewJudge(logsync.JudgeOptions{
-		Source:  i.config,
+		Source:  i.configStream,
 		Writer:  i.writer,
 		Self:    i.opts.Settings.Instance.ID,
 		Members: i.members(""),
@@ -116,9 +119,9 @@
 	})
 }
 
-// checkpointer returns the duty that writes a stream's state again before its
-// records age out; the entry instances of the failure domain share it, or all
-// where domain is empty.
+// checkpointer returns the duty that writes a stream's state as a checkpoint before the
+// stream's records age out. The entry instances of the failure domain share this work, or
+// all entry instances if domain is empty.
 func (i *Instance) checkpointer(source logsync.Source, domain string) *logsync.Checkpointer {
 	return logsync.NewCheckpointer(logsync.CheckpointerOptions{
 		Source:  source,
@@ -129,7 +132,8 @@
 	})
 }
 
-// wireDemand makes what meters this instance's callers and asks the others'.
+// wireDemand creates the meters of the demand from this instance's callers, and the
+// collector of the other instances' demand.
 func (i *Instance) wireDemand() {
 	entries := func() []infra.Instance { return i.watcher.List().Entries("") }
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
@@ -138,48 +142,49 @@
 	i.collector = demand.NewCollector(i.domain(), i.peers, entries, random)
 }
 
-// wireMissing makes what passes on which servers lack what they should hold.
-func (i *Instance) wireMissing() {
-	i.missing = &missing{
-		own:     i.opts.Settings.Instance.ID,
-		ring:    make(chan string, missingRing),
+// wireMissingReports creates the duty that reports servers that lack an assigned model or
+// adapter.
+func (i *Instance) wireMissingReports() {
+	i.missingReports = &missingReports{
+		ownID:   i.opts.Settings.Instance.ID,
+		queue:   make(chan string, missingBuffer),
 		list:    i.watcher.List,
-		views:   i.domains.views,
-		local:   i.tellController,
-		tell:    i.peers.Missing,
+		views:   i.controlFollowers.views,
+		local:   i.reportToController,
+		remote:  i.peers.Missing,
 		log:     i.log,
 		metrics: i.vars("missing"),
 	}
 }
 
-// tellController tells the controller, if one runs, of a server that lacks what
-// it should hold.
-func (i *Instance) tellController(server string) {
+// reportToController reports a server that lacks an assigned model or adapter to this
+// instance's controller, if one runs.
+func (i *Instance) reportToController(server string) {
 	if c := i.controller.Load(); c != nil {
 		c.Missing(server)
 	}
 }
 
-// wireCaller makes the callers' side.
+// wireCaller creates the server that serves callers.
 func (i *Instance) wireCaller() error {
 	s := i.opts.Settings
-	i.hints = &hints{engine: i.opts.Platform.Engine, ring: make(chan server, hintsRing), metrics: i.vars("hints")}
-	i.quarantine = &quarantine{config: i.configuration.Config, follower: i.quarantined, appender: i.writer, log: i.log}
+	i.cachePoller = &cachePoller{engine: i.opts.Platform.Engine, usedServers: make(chan server, usedServerBuffer), metrics: i.vars("hints")}
+	i.quarantine = &quarantine{config: i.configTracker.Config, follower: i.quarantineStream, appender: i.writer, log: i.log}
 	callers, err := caller.New(caller.Options{
 		Instance:      s.Instance.ID,
 		FailureDomain: i.domain(),
-		Directory:     i.configuration,
+		Directory:     i.configTracker,
 		Engine:        i.opts.Platform.Engine,
 		Services:      i.opts.Platform.Services,
 		Claimer:       i.claimer,
 		Quarantine:    i.quarantine,
-		Answers: &answers{
+		Answers: &answerFetcher{
 			client: i.peers,
-			own:    s.Instance.ID,
+			ownID:  s.Instance.ID,
 			local:  func(attempt string) (caller.Answer, bool, bool) { return i.caller.AnswerFor(attempt) },
 			addrOf: i.addrOf,
 		},
-		Observer: &observer{meter: i.meter, loads: i.loads, domainOf: i.domainOf, table: i.table.Load, missing: i.missing.found, used: i.hints.used},
+		Observer: &observer{meter: i.meter, loads: i.loads, domainOf: i.domainOf, table: i.table.Load, missingReports: i.missingReports.enqueue, markUsed: i.cachePoller.markUsed},
 		Limits: caller.Limits{
 			BodyBytes: int(s.Limits.MaxBodyBytes),
 			Requests:  s.Limits.MaxInFlight,
@@ -193,16 +198,16 @@
 		return err
 	}
 	i.caller = callers
-	i.hints.cached = callers.Cached
+	i.cachePoller.applyEvents = callers.Cached
 	return nil
 }
 
 func (i *Instance) wireRouting() {
-	i.routing = &routing{
-		domain:   i.domain(),
-		config:   i.configuration.Config,
-		list:     i.watcher.List,
-		controls: i.domains.views,
+	i.tableBuilder = &tableBuilder{
+		domain:       i.domain(),
+		config:       i.configTracker.Config,
+		list:         i.watcher.List,
+		controlViews: i.controlFollowers.views,
 		publish: func(t *decide.Table) {
 			i.table.Store(t)
 			i.caller.SetTable(t)
--- a/supervise/supervise.go
+++ b/supervise/supervise.go
@@ -1,7 +1,8 @@
-// Package supervise runs duties as a tree. A duty is one goroutine that owns
-// its state. A duty that fails or panics is started again after a growing
-// delay; one that keeps failing takes its whole level down, and the level above
-// decides in the same way about that.
+// Package supervise runs duties under a tree of supervisors. A duty is a long-running
+// function in a goroutine of its own. Run supervises a group of duties: it restarts a duty
+// that fails or panics, after an exponential backoff. If a duty keeps failing, Run ends the
+// whole group and returns an error. Tree makes such a group a duty of another supervisor,
+// which restarts the group in the same way.
 package supervise
 
 import (
@@ -16,35 +17,34 @@
 )
 
 const (
-	// DefaultMaxRestarts and DefaultWindow bound how often one duty may be
-	// started again: more than five failures within a minute are no passing
-	// trouble, and a process that the platform replaces serves better than one
-	// that limps.
+	// DefaultMaxRestarts and DefaultWindow limit the restarts of a duty. More than five
+	// failures within a minute are not a transient fault; it is better that the platform
+	// replaces the process than that a degraded one keeps serving.
 	DefaultMaxRestarts = 5
 	DefaultWindow      = time.Minute
-	// DefaultBackoff is the delay before the first restart. It doubles up to
-	// MaxBackoff, so that a duty that fails at once can't use up a core.
+	// DefaultBackoff is the delay before the first restart. The delay doubles with each
+	// further failure up to MaxBackoff, so that a duty that fails immediately does not
+	// keep a core busy.
 	DefaultBackoff = 50 * time.Millisecond
 	MaxBackoff     = 5 * time.Second
 )
 
-// Duty is something to run until its context ends. Run returns nil when its
-// work is over, an error when it failed.
+// Duty is a named function that runs until its context ends. Run returns nil when its work
+// is done, or an error when it failed and must be restarted.
 type Duty struct {
 	Name string
 	Run  func(ctx context.Context) error
 }
 
-// Options are the limits of one level of the tree. The zero value of each
-// takes its default.
+// Options configures one supervisor. A zero field means the default.
 type Options struct {
 	Log         logrus.FieldLogger
-	MaxRestarts int           // failures of one duty within Window before the level gives up
-	Window      time.Duration // how far back failures count
+	MaxRestarts int           // failures of one duty within Window that are followed by a restart
+	Window      time.Duration // how long a failure counts toward MaxRestarts
 	Backoff     time.Duration // delay before the first restart
 }
 
-// PanicError is a duty's panic.
+// PanicError reports that a duty panicked.
 type PanicError struct {
 	Duty  string
 	Value any
@@ -54,33 +54,34 @@
 // Error implements error.
 func (e *PanicError) Error() string { return fmt.Sprintf("duty %s panicked: %v", e.Duty, e.Value) }
 
-// GaveUpError says that a duty failed too often and took its level down.
-type GaveUpError struct {
+// RestartLimitError reports that a duty failed more than MaxRestarts times within Window,
+// so that its supervisor ended the whole group.
+type RestartLimitError struct {
 	Duty     string
 	Failures int
 	Err      error // the last failure
 }
 
 // Error implements error.
-func (e *GaveUpError) Error() string {
+func (e *RestartLimitError) Error() string {
 	return fmt.Sprintf("duty %s failed %d times: %v", e.Duty, e.Failures, e.Err)
 }
 
 // Unwrap returns the last failure.
-func (e *GaveUpError) Unwrap() error { return e.Err }
+func (e *RestartLimitError) Unwrap() error { return e.Err }
 
-// Run runs the duties until ctx ends or one of them fails for good, and returns
-// once all have ended: nil after the first, a *GaveUpError after the second.
+// Run supervises the duties and returns once all have ended. The result is nil if ctx ended
+// or every duty finished, or a *RestartLimitError if a duty exceeded its restart limit.
 func Run(ctx context.Context, opts Options, duties ...Duty) error {
 	opts = opts.withDefaults()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, duty := range duties {
-		group.Go(func() error { return keepRunning(ctx, opts, duty) })
+		group.Go(func() error { return runWithRestarts(ctx, opts, duty) })
 	}
 	return group.Wait()
 }
 
-// Tree makes a level of its own into a duty of the level above.
+// Tree returns a duty that supervises a group of duties of its own.
 func Tree(name string, opts Options, duties ...Duty) Duty {
 	return Duty{Name: name, Run: func(ctx context.Context) error { return Run(ctx, opts, duties...) }}
 }
@@ -101,19 +102,20 @@
 	return o
 }
 
-// keepRunning runs one duty and starts it again after each failure.
-func keepRunning(ctx context.Context, opts Options, duty Duty) error {
+// runWithRestarts runs one duty and restarts it after each failure, until it finishes, ctx
+// ends or the restart limit is exceeded.
+func runWithRestarts(ctx context.Context, opts Options, duty Duty) error {
 	var failures []time.Time
 	for {
-		err := Once(ctx, duty)
+		err := RunOnce(ctx, duty)
 		if err == nil || ctx.Err() != nil {
 			return nil
 		}
 		now := time.Now()
-		failures = append(recent(failures, now.Add(-opts.Window)), now)
+		failures = append(failuresSince(failures, now.Add(-opts.Window)), now)
 		logFailure(opts.Log, duty.Name, len(failures), err)
 		if len(failures) > opts.MaxRestarts {
-			return &GaveUpError{Duty: duty.Name, Failures: len(failures), Err: err}
+			return &RestartLimitError{Duty: duty.Name, Failures: len(failures), Err: err}
 		}
 		if !Pause(ctx, Backoff(opts.Backoff, MaxBackoff, len(failures))) {
 			return nil
@@ -121,8 +123,8 @@
 	}
 }
 
-// Once runs a duty until it ends, and turns a panic into a *PanicError.
-func Once(ctx context.Context, duty Duty) (err error) {
+// RunOnce runs a duty without restarts, and converts a panic into a *PanicError.
+func RunOnce(ctx context.Context, duty Duty) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
 			err = &PanicError{Duty: duty.Name, Value: v, Stack: debug.Stack()}
@@ -140,28 +142,28 @@
 	entry.Error("duty failed")
 }
 
-// recent returns the times after since.
-func recent(times []time.Time, since time.Time) []time.Time {
+// failuresSince returns the times after since. The times are ascending.
+func failuresSince(times []time.Time, since time.Time) []time.Time {
 	for len(times) > 0 && !times[0].After(since) {
 		times = times[1:]
 	}
 	return times
 }
 
-// Backoff returns the pause after failures in a row, from 1: first, doubled with
-// each further one, and most at the longest.
-func Backoff(first, most time.Duration, failures int) time.Duration {
-	d := first
+// Backoff returns the delay after a number of consecutive failures, at least 1: initial,
+// doubled with each further failure, but at most limit.
+func Backoff(initial, limit time.Duration, failures int) time.Duration {
+	d := initial
 	for range failures - 1 {
 		d *= 2
-		if d >= most {
-			return most
+		if d >= limit {
+			return limit
 		}
 	}
 	return d
 }
 
-// Pause waits for d, and says whether ctx still lasts.
+// Pause waits for d or until ctx ends, and reports whether the full time has passed.
 func Pause(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/supervise/supervise_test.go
+++ b/supervise/supervise_test.go
@@ -16,20 +16,20 @@
 
 func TestMain(m *testing.M) { testmain.Run(m) }
 
-type failure struct{}
+type testError struct{}
 
-func (failure) Error() string { return "failed" }
+func (testError) Error() string { return "failed" }
 
-func quiet() Options {
+func quietOptions() Options {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return Options{Log: log}
 }
 
-func TestDutyThatPanicsIsStartedAgain(t *testing.T) {
+func TestPanickingDutyIsRestarted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runs := 0
-		err := Run(t.Context(), quiet(), Duty{Name: "d", Run: func(context.Context) error {
+		err := Run(t.Context(), quietOptions(), Duty{Name: "d", Run: func(context.Context) error {
 			runs++
 			if runs < 3 {
 				panic("boom")
@@ -41,7 +41,7 @@
 	})
 }
 
-func TestDutyThatKeepsFailingTakesItsLevelDown(t *testing.T) {
+func TestPersistentFailureEndsSupervisor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		siblingEnded := false
 		sibling := Duty{Name: "sibling", Run: func(ctx context.Context) error {
@@ -50,40 +50,40 @@
 			return nil
 		}}
 		runs := 0
-		failing := Duty{Name: "failing", Run: func(context.Context) error { runs++; return failure{} }}
-		err := Run(t.Context(), quiet(), Tree("level", quiet(), sibling, failing))
-		var gaveUp *GaveUpError
+		failing := Duty{Name: "failing", Run: func(context.Context) error { runs++; return testError{} }}
+		err := Run(t.Context(), quietOptions(), Tree("level", quietOptions(), sibling, failing))
+		var gaveUp *RestartLimitError
 		require.True(t, errors.As(err, &gaveUp))
 		require.Equal(t, "level", gaveUp.Duty)
-		require.True(t, errors.As(err, &failure{}))
+		require.True(t, errors.As(err, &testError{}))
 		require.True(t, siblingEnded)
 		require.Equal(t, (DefaultMaxRestarts+1)*(DefaultMaxRestarts+1), runs)
 	})
 }
 
-func TestFailuresFarApartAreForgotten(t *testing.T) {
+func TestFailuresOutsideWindowDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		runs := 0
-		err := Run(t.Context(), quiet(), Duty{Name: "d", Run: func(ctx context.Context) error {
+		err := Run(t.Context(), quietOptions(), Duty{Name: "d", Run: func(ctx context.Context) error {
 			runs++
 			if runs > 3*DefaultMaxRestarts {
 				return nil
 			}
 			time.Sleep(DefaultWindow)
-			return failure{}
+			return testError{}
 		}})
 		require.NoError(t, err)
 	})
 }
 
-func TestEndOfContextIsNoFailure(t *testing.T) {
+func TestContextEndIsNotAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		go func() {
 			time.Sleep(time.Second)
 			cancel()
 		}()
-		err := Run(ctx, quiet(), Duty{Name: "d", Run: func(ctx context.Context) error {
+		err := Run(ctx, quietOptions(), Duty{Name: "d", Run: func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}})
