--- a/infra/errors.go
+++ b/infra/errors.go
@@ -2,18 +2,18 @@
 
 import "fmt"
 
-// Effect says whether the action that a failed call asked for can have happened.
+// Effect tells whether the action that a failed call asked for may have happened.
 type Effect int
 
 const (
-	// EffectUnknown: the call may have taken effect; its answer was lost.
+	// EffectUnknown means that the call may have taken effect.
 	EffectUnknown Effect = iota
-	// EffectNone: the call surely took no effect: no byte of it left, or the
-	// other side itself said that it refused it before starting.
+	// EffectNone means that the call took no effect: nothing of the request was sent, or
+	// the server reported that it refused the request before starting it.
 	EffectNone
 )
 
-// String returns the name used in logs.
+// String returns "none" or "unknown", as in logs and in ErrorBody.
 func (e Effect) String() string {
 	if e == EffectNone {
 		return "none"
@@ -21,31 +21,31 @@
 	return "unknown"
 }
 
-// Reason classes the failure of a call to the platform.
+// Reason classifies the failure of a call to the platform.
 type Reason string
 
-// The reasons of a failed call.
+// The reasons why a call failed.
 const (
-	ReasonUnreachable   Reason = "unreachable"     // no connection, or it broke
+	ReasonUnreachable   Reason = "unreachable"     // no connection, or the connection broke
 	ReasonTimeout       Reason = "timeout"         // the context's deadline passed
 	ReasonCanceled      Reason = "canceled"        // the context was canceled
-	ReasonUnavailable   Reason = "unavailable"     // the service says that it is out
-	ReasonOverloaded    Reason = "overloaded"      // the service refuses for lack of room
-	ReasonLeaving       Reason = "leaving"         // the backend server takes no new work
-	ReasonNotResident   Reason = "not_resident"    // the model isn't loaded there
-	ReasonStaleFence    Reason = "stale_fence"     // the order bore an old fencing number
-	ReasonNoMemory      Reason = "no_memory"       // the load doesn't fit
-	ReasonOutOfRange    Reason = "out_of_range"    // the offset has aged out of the log
-	ReasonBadRequest    Reason = "bad_request"     // the other side can't accept the request
-	ReasonProtocol      Reason = "protocol"        // the answer can't be understood
-	ReasonFailed        Reason = "failed"          // the backend server ran the request and failed
-	ReasonNoSuchAttempt Reason = "no_such_attempt" // nothing to resume or cancel
+	ReasonUnavailable   Reason = "unavailable"     // the service reports an outage, or gave no reason
+	ReasonOverloaded    Reason = "overloaded"      // the service refuses because of overload
+	ReasonLeaving       Reason = "leaving"         // the backend server is draining and accepts no new work
+	ReasonNotResident   Reason = "not_resident"    // the model or adapter is not loaded on the server
+	ReasonStaleFence    Reason = "stale_fence"     // the order had an old fencing token
+	ReasonNoMemory      Reason = "no_memory"       // the item to load does not fit into the memory
+	ReasonOutOfRange    Reason = "out_of_range"    // the log no longer retains the offset
+	ReasonBadRequest    Reason = "bad_request"     // the request is invalid
+	ReasonProtocol      Reason = "protocol"        // the response is malformed or too large
+	ReasonFailed        Reason = "failed"          // the backend server failed while running the request
+	ReasonNoSuchAttempt Reason = "no_such_attempt" // no attempt to resume or cancel
 )
 
-// Error is the failure of a call to the platform.
+// Error reports that a call to the platform failed.
 type Error struct {
 	Op     string // the call, such as "log.append"
-	Addr   string // the other side's address, host:port
+	Addr   string // address of the called service, host:port
 	Reason Reason
 	Effect Effect
 	Err    error // the cause, or nil
--- a/infra/http.go
+++ b/infra/http.go
@@ -13,29 +13,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Bounds of answers, so that no answer can take an instance's memory.
+// Limits on the size of responses, so that no response can exhaust an instance's memory.
 const (
-	// maxAnswerBytes bounds a JSON answer other than a read of the log: the
-	// status of a server with a few hundred items is under 64 KiB.
+	// maxAnswerBytes is the default limit of a JSON response. The status of a server with
+	// a few hundred items is under 64 KiB.
 	maxAnswerBytes = 4 << 20
-	// maxErrorBytes bounds the body of a refusal.
+	// maxErrorBytes limits the body of an error response.
 	maxErrorBytes = 64 << 10
 )
 
-// ErrorBody is the JSON body of a refusal in the HTTP form of the platform's
-// services. Its Effect is the other side's own word: "none" only if it refused
-// before it started.
+// ErrorBody is the JSON body of an error response of the platform's services. The service
+// sets Effect to "none" only if it refused the request before starting it.
 type ErrorBody struct {
 	Reason  Reason `json:"reason"`
 	Effect  string `json:"effect"`
 	Message string `json:"message,omitempty"`
-	// Oldest and Next come with ReasonOutOfRange.
+	// Oldest and Next are set with ReasonOutOfRange, as in Batch.
 	Oldest Offset `json:"oldest,omitempty"`
 	Next   Offset `json:"next,omitempty"`
 }
 
-// StatusError is the cause of an Error where the other side answered with an
-// HTTP status that is no success.
+// StatusError is the cause of an Error if the service responded with an HTTP status other
+// than 2xx.
 type StatusError struct {
 	Status  int
 	Message string
@@ -46,40 +45,41 @@
 	return http.StatusText(e.Status) + ": " + e.Message
 }
 
-// SizeError is the cause of an Error where an answer was larger than its bound.
+// SizeError is the cause of an Error if a response, or an event of a stream, was larger
+// than its limit.
 type SizeError struct{ Limit int64 } // in bytes
 
 // Error implements error.
-func (e *SizeError) Error() string { return "the answer is larger than its bound" }
+func (e *SizeError) Error() string { return "the response is larger than its limit" }
 
-// caller does the HTTP calls of one service.
-type caller struct {
+// httpClient makes the HTTP calls to one service.
+type httpClient struct {
 	client *http.Client
 }
 
-// newCaller copies the client without following redirects: a redirect would
-// send a request to a second server.
-func newCaller(client *http.Client) caller {
+// newHTTPClient returns an httpClient with a copy of the client that does not follow
+// redirects, because a redirect would send a request to a second server.
+func newHTTPClient(client *http.Client) httpClient {
 	c := *client
 	c.CheckRedirect = func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
-	return caller{client: &c}
+	return httpClient{client: &c}
 }
 
-// call is one HTTP call.
+// call describes one HTTP call.
 type call struct {
 	op     string
 	addr   string
 	method string
 	url    string
 	body   any   // sent as JSON unless nil
-	limit  int64 // bytes of the answer; 0: maxAnswerBytes
-	// unless is the ETag of an answer that is known already: an answer of 304
-	// then says that it still holds. Empty: none is known.
-	unless string
+	limit  int64 // maximum size of the response, in bytes; 0: maxAnswerBytes
+	// ifNoneMatch is the ETag of the last response, or empty. If the resource has not
+	// changed since, the response is 304 (Not Modified).
+	ifNoneMatch string
 }
 
-// json does the call and decodes its answer into out, unless out is nil.
-func (c caller) json(ctx context.Context, k call, out any) error {
+// doJSON makes the call and decodes its response into out, unless out is nil.
+func (c httpClient) doJSON(ctx context.Context, k call, out any) error {
 	res, err := c.send(ctx, k)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return k.decode(ctx, res, out)
 }
 
-// decode reads a success's body into out, unless out is nil.
+// decode reads the body of a successful response into out, unless out is nil.
 func (k call) decode(ctx context.Context, res *http.Response, out any) error {
 	limit := k.limit
 	if limit == 0 {
@@ -96,7 +96,7 @@
 	}
 	data, err := readBounded(res.Body, limit)
 	if err != nil {
-		return k.failed(ctx, EffectUnknown, err)
+		return k.transportError(ctx, EffectUnknown, err)
 	}
 	if out == nil {
 		return nil
@@ -107,9 +107,9 @@
 	return nil
 }
 
-// send does the call and returns its answer if that is a success. The caller
-// closes the answer's body.
-func (c caller) send(ctx context.Context, k call) (*http.Response, error) {
+// send makes the call and returns the response if its status is 2xx, or 304 with an
+// ifNoneMatch. The caller of send closes the body.
+func (c httpClient) send(ctx context.Context, k call) (*http.Response, error) {
 	var body io.Reader
 	if k.body != nil {
 		data, err := json.Marshal(k.body)
@@ -125,73 +125,74 @@
 	if k.body != nil {
 		req.Header.Set("Content-Type", "application/json")
 	}
-	if k.unless != "" {
-		req.Header.Set("If-None-Match", k.unless)
+	if k.ifNoneMatch != "" {
+		req.Header.Set("If-None-Match", k.ifNoneMatch)
 	}
 	res, err := c.do(req, k)
 	if err != nil {
 		return nil, err
 	}
-	if k.unless != "" && res.StatusCode == http.StatusNotModified {
+	if k.ifNoneMatch != "" && res.StatusCode == http.StatusNotModified {
 		return res, nil
 	}
 	if res.StatusCode/100 != 2 {
 		defer res.Body.Close()
-		return nil, k.refused(res)
+		return nil, k.responseError(res)
 	}
 	return res, nil
 }
 
-// do sends the request, and says of a failure whether a byte can have left.
-func (c caller) do(req *http.Request, k call) (*http.Response, error) {
+// do sends the request like Send.
+func (c httpClient) do(req *http.Request, k call) (*http.Response, error) {
 	return Send(k.op, k.addr, c.client.Do, req)
 }
 
-// Send sends a request, and says of a failure whether a byte can have left. Its
-// error is an *Error; an answer is returned whatever its status.
+// Send sends a request and returns the response, whatever its status. The error is an
+// *Error whose Effect is EffectNone only if nothing of the request can have been sent.
 func Send(op, addr string, do func(*http.Request) (*http.Response, error), req *http.Request) (*http.Response, error) {
 	var t connTrace
 	ctx := httptrace.WithClientTrace(req.Context(), t.hooks())
 	res, err := do(req.WithContext(ctx))
 	if err != nil {
 		k := call{op: op, addr: addr}
-		return nil, k.failed(ctx, t.effect(ctx, err), err)
+		return nil, k.transportError(ctx, t.effect(ctx, err), err)
 	}
 	return res, nil
 }
 
-// connTrace follows whether a request was ever given a connection.
+// connTrace records whether a request ever obtained a connection.
 type connTrace struct {
-	asked atomic.Bool // the transport began to look for one, and it traces
-	given atomic.Bool
+	connRequested atomic.Bool // the transport supports tracing and has begun to get a connection
+	connObtained  atomic.Bool
 }
 
 func (t *connTrace) hooks() *httptrace.ClientTrace {
 	return &httptrace.ClientTrace{
-		GetConn: func(string) { t.asked.Store(true) },
-		GotConn: func(httptrace.GotConnInfo) { t.given.Store(true) },
+		GetConn: func(string) { t.connRequested.Store(true) },
+		GotConn: func(httptrace.GotConnInfo) { t.connObtained.Store(true) },
 	}
 }
 
-// effect returns EffectNone only if no byte can have left: the request was
-// never given a connection, and either the dial failed or the context ended
-// while the transport still waited for one.
+// effect returns EffectNone only if nothing of the request can have been sent: the request
+// never obtained a connection, and either the dial failed or the context ended while the
+// transport was waiting for a connection.
 func (t *connTrace) effect(ctx context.Context, err error) Effect {
-	if t.given.Load() {
+	if t.connObtained.Load() {
 		return EffectUnknown
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return EffectNone
 	}
-	if t.asked.Load() && ctx.Err() != nil {
+	if t.connRequested.Load() && ctx.Err() != nil {
 		return EffectNone
 	}
 	return EffectUnknown
 }
 
-// failed returns the Error of a call that got no answer, or a broken one.
-func (k call) failed(ctx context.Context, effect Effect, err error) *Error {
+// transportError returns the Error of a call whose response is missing, incomplete or too
+// large.
+func (k call) transportError(ctx context.Context, effect Effect, err error) *Error {
 	return &Error{Op: k.op, Addr: k.addr, Reason: reasonOf(ctx, err), Effect: effect, Err: err}
 }
 
@@ -211,8 +212,8 @@
 	return ReasonUnreachable
 }
 
-// refused returns the Error of an answer that is no success.
-func (k call) refused(res *http.Response) error {
+// responseError returns the Error for a response with a status other than 2xx.
+func (k call) responseError(res *http.Response) error {
 	cause := &StatusError{Status: res.StatusCode}
 	e := &Error{Op: k.op, Addr: k.addr, Reason: ReasonUnavailable, Effect: EffectUnknown, Err: cause}
 	data, err := readBounded(res.Body, maxErrorBytes)
@@ -229,23 +230,23 @@
 		e.Effect = EffectNone
 	}
 	if body.Reason == ReasonOutOfRange {
-		return &outOfRange{cause: e, batch: Batch{Oldest: body.Oldest, Next: body.Next}}
+		return &outOfRangeError{cause: e, batch: Batch{Oldest: body.Oldest, Next: body.Next}}
 	}
 	return e
 }
 
-// outOfRange carries the bounds of a stream beside the error to the log's
-// adapter, which takes them apart.
-type outOfRange struct {
+// outOfRangeError passes the bounds of a stream to HTTPLog.Read, together with the error
+// that Read returns.
+type outOfRangeError struct {
 	cause *Error
 	batch Batch
 }
 
 // Error implements error.
-func (e *outOfRange) Error() string { return e.cause.Error() }
+func (e *outOfRangeError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
-func (e *outOfRange) Unwrap() error { return e.cause }
+func (e *outOfRangeError) Unwrap() error { return e.cause }
 
 func readBounded(r io.Reader, limit int64) ([]byte, error) {
 	data, err := io.ReadAll(io.LimitReader(r, limit+1))
--- a/infra/http_bench_test.go
+++ b/infra/http_bench_test.go
@@ -11,8 +11,8 @@
 	"greengageferry/infra"
 )
 
-// BenchmarkStreamEvent measures what one event of a stream costs its reader and
-// a server that writes several events at a time.
+// BenchmarkStreamEvent measures the cost of one event of a stream, including that of the
+// local server, which writes 16 events at a time.
 func BenchmarkStreamEvent(b *testing.B) {
 	event := "data: {\"attempt\":\"0123456789abcdef\",\"index\":7,\"token\":\"cornice1ab \"}\n\n"
 	chunk := []byte(strings.Repeat(event, 16))
--- a/infra/http_engine.go
+++ b/infra/http_engine.go
@@ -10,11 +10,14 @@
 	"github.com/openai/openai-go/v3/packages/ssestream"
 )
 
-// The HTTP form of an engine. PathGenerate takes a POST with a GenerateRequest
-// and answers with server-sent events, each an Event in JSON; PathCancel a POST
-// with a CancelBody; PathOrder a POST with an Order; PathStatus a GET answered
-// by a ServerStatus; PathCacheEvents a GET with ?after=N answered by an array
-// of CacheEvent.
+// The HTTP interface of an engine. All bodies are JSON.
+//
+//   - POST PathGenerate takes a GenerateRequest and responds with server-sent events, each
+//     with an Event.
+//   - POST PathCancel takes a CancelBody.
+//   - POST PathOrder takes an Order.
+//   - GET PathStatus responds with a ServerStatus.
+//   - GET PathCacheEvents?after=N responds with an array of CacheEvent.
 const (
 	PathGenerate    = "/engine/generate"
 	PathCancel      = "/engine/cancel"
@@ -26,58 +29,57 @@
 // ContentTypeEvents is the media type of a stream of server-sent events.
 const ContentTypeEvents = "text/event-stream"
 
-// maxEventBytes bounds one event of a stream, so that an engine that sends a
-// line without an end can't fill an instance's memory. A token takes some tens
-// of bytes.
+// maxEventBytes limits one event of a stream, so that an engine that sends an endless line
+// can't exhaust an instance's memory. A token takes some tens of bytes.
 const maxEventBytes = 64 << 10
 
-// CancelBody is the body of a cancel.
+// CancelBody is the request body of PathCancel.
 type CancelBody struct {
 	Attempt string `json:"attempt"`
 }
 
-// HTTPEngine is an Engine over HTTP. Its client's transport should keep enough
-// idle connections to each server for the requests in flight there.
+// HTTPEngine implements Engine over HTTP. The client's transport should allow as many idle
+// connections to each server as there are requests in flight.
 type HTTPEngine struct {
-	caller caller
+	httpClient httpClient
 }
 
 var _ Engine = (*HTTPEngine)(nil)
 
-// NewHTTPEngine returns an Engine that calls through the client.
+// NewHTTPEngine returns an Engine that uses the client.
 func NewHTTPEngine(client *http.Client) *HTTPEngine {
-	return &HTTPEngine{caller: newCaller(client)}
+	return &HTTPEngine{httpClient: newHTTPClient(client)}
 }
 
-// Generate implements Engine. The context bounds the whole stream.
+// Generate implements Engine. The stream ends with an error when ctx ends.
 func (e *HTTPEngine) Generate(ctx context.Context, addr string, req GenerateRequest) (Stream, error) {
 	k := call{op: "engine.generate", addr: addr, method: http.MethodPost, url: "http://" + addr + PathGenerate, body: req}
-	res, err := e.caller.send(ctx, k)
+	res, err := e.httpClient.send(ctx, k)
 	if err != nil {
 		return nil, err
 	}
-	bounded := &eventBound{body: res.Body}
-	res.Body = bounded
-	return &httpStream{ctx: ctx, call: k, bound: bounded, events: ssestream.NewDecoder(res)}, nil
+	limited := &eventLimiter{body: res.Body}
+	res.Body = limited
+	return &httpStream{ctx: ctx, call: k, limiter: limited, events: ssestream.NewDecoder(res)}, nil
 }
 
 // Cancel implements Engine.
 func (e *HTTPEngine) Cancel(ctx context.Context, addr, attempt string) error {
 	k := call{op: "engine.cancel", addr: addr, method: http.MethodPost, url: "http://" + addr + PathCancel, body: CancelBody{Attempt: attempt}}
-	return e.caller.json(ctx, k, nil)
+	return e.httpClient.doJSON(ctx, k, nil)
 }
 
 // Order implements Engine.
 func (e *HTTPEngine) Order(ctx context.Context, addr string, order Order) error {
 	k := call{op: "engine.order", addr: addr, method: http.MethodPost, url: "http://" + addr + PathOrder, body: order}
-	return e.caller.json(ctx, k, nil)
+	return e.httpClient.doJSON(ctx, k, nil)
 }
 
 // Status implements Engine.
 func (e *HTTPEngine) Status(ctx context.Context, addr string) (ServerStatus, error) {
 	k := call{op: "engine.status", addr: addr, method: http.MethodGet, url: "http://" + addr + PathStatus}
 	var status ServerStatus
-	if err := e.caller.json(ctx, k, &status); err != nil {
+	if err := e.httpClient.doJSON(ctx, k, &status); err != nil {
 		return ServerStatus{}, err
 	}
 	return status, nil
@@ -88,77 +90,78 @@
 	target := "http://" + addr + PathCacheEvents + "?after=" + strconv.FormatUint(after, 10)
 	k := call{op: "engine.cache_events", addr: addr, method: http.MethodGet, url: target}
 	var events []CacheEvent
-	if err := e.caller.json(ctx, k, &events); err != nil {
+	if err := e.httpClient.doJSON(ctx, k, &events); err != nil {
 		return nil, err
 	}
 	return events, nil
 }
 
-// httpStream reads the events of one answer. It buffers no more than one event
-// and one read of the body: an engine ahead of its reader is held up by TCP.
+// httpStream reads the events of one answer. It buffers no more than one event and one read
+// of the body, so that TCP flow control slows down an engine that is ahead of its reader.
 type httpStream struct {
-	ctx    context.Context
-	call   call
-	bound  *eventBound
-	events ssestream.Decoder
-	end    error // what Recv returns from now on; nil while the stream runs
+	ctx     context.Context
+	call    call
+	limiter *eventLimiter
+	events  ssestream.Decoder
+	endErr  error // returned by all further calls of Recv; nil while the stream runs
 }
 
 // Recv implements Stream.
 func (s *httpStream) Recv() (Event, error) {
-	if s.end != nil {
-		return Event{}, s.end
+	if s.endErr != nil {
+		return Event{}, s.endErr
 	}
-	s.bound.left = maxEventBytes
+	s.limiter.remaining = maxEventBytes
 	if !s.events.Next() {
-		return Event{}, s.broken(s.cause())
+		return Event{}, s.failWith(s.endCause())
 	}
 	var event Event
 	if err := json.Unmarshal(s.events.Event().Data, &event); err != nil {
-		s.end = &Error{Op: s.call.op, Addr: s.call.addr, Reason: ReasonProtocol, Effect: EffectUnknown, Err: err}
-		return Event{}, s.end
+		s.endErr = &Error{Op: s.call.op, Addr: s.call.addr, Reason: ReasonProtocol, Effect: EffectUnknown, Err: err}
+		return Event{}, s.endErr
 	}
 	if event.Finish != "" {
-		s.end = io.EOF
+		s.endErr = io.EOF
 	}
 	return event, nil
 }
 
-// cause says why the body ended before a Finish.
-func (s *httpStream) cause() error {
+// endCause returns why the body ended before an event with a Finish.
+func (s *httpStream) endCause() error {
 	if err := s.events.Err(); err != nil {
 		return err
 	}
 	return io.ErrUnexpectedEOF
 }
 
-func (s *httpStream) broken(err error) error {
-	s.end = s.call.failed(s.ctx, EffectUnknown, err)
-	return s.end
+func (s *httpStream) failWith(err error) error {
+	s.endErr = s.call.transportError(s.ctx, EffectUnknown, err)
+	return s.endErr
 }
 
-// Close implements Stream. Closing a body that has not been read to its end
-// closes the connection, which cancels the work at the server.
+// Close implements Stream. Closing a body that has not been read to its end closes the
+// connection, which cancels the work at the server.
 func (s *httpStream) Close() error { return s.events.Close() }
 
-// eventBound fails once more than left bytes were read since left was last set.
-type eventBound struct {
-	body io.ReadCloser
-	left int
+// eventLimiter is a body whose reads fail once remaining bytes have been read. httpStream
+// resets remaining before each event.
+type eventLimiter struct {
+	body      io.ReadCloser
+	remaining int
 }
 
 // Read implements io.Reader.
-func (b *eventBound) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *eventLimiter) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, &SizeError{Limit: maxEventBytes}
 	}
-	if len(p) > b.left {
-		p = p[:b.left]
+	if len(p) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.body.Read(p)
-	b.left -= n
+	b.remaining -= n
 	return n, err
 }
 
 // Close implements io.Closer.
-func (b *eventBound) Close() error { return b.body.Close() }
+func (b *eventLimiter) Close() error { return b.body.Close() }
--- a/infra/http_instances.go
+++ b/infra/http_instances.go
@@ -7,31 +7,31 @@
 	"sync"
 )
 
-// PathInstances is where the platform's list answers a GET with a JSON array of
-// Instance.
+// PathInstances is the path of the platform's instance list. A GET responds with a JSON array
+// of Instance.
 const PathInstances = "/instances"
 
-// maxInstancesBytes bounds the list: a line takes about 200 bytes, and there
-// are up to some thousands.
+// maxInstancesBytes limits the list. An entry takes about 200 bytes, and there are up to a
+// few thousand.
 const maxInstancesBytes = 8 << 20
 
-// HTTPInstances is Instances over HTTP. It asks on condition (If-None-Match), so
-// that a list that has not changed costs two headers and not its hundreds of
-// kilobytes, and takes a compressed answer.
+// HTTPInstances implements Instances over HTTP. It makes conditional requests
+// (If-None-Match), so that an unchanged list costs only headers instead of hundreds of
+// kilobytes, and it accepts compressed responses.
 type HTTPInstances struct {
-	base   string
-	caller caller
+	base       string
+	httpClient httpClient
 
 	mu   sync.Mutex
-	etag string // of last; empty: the list gives none
+	etag string // ETag of last; empty: the server sent none
 	last []Instance
 }
 
 var _ Instances = (*HTTPInstances)(nil)
 
-// NewHTTPInstances returns the list at the base URL.
+// NewHTTPInstances returns a client of the instance list at the base URL.
 func NewHTTPInstances(base string, client *http.Client) *HTTPInstances {
-	return &HTTPInstances{base: strings.TrimRight(base, "/"), caller: newCaller(client)}
+	return &HTTPInstances{base: strings.TrimRight(base, "/"), httpClient: newHTTPClient(client)}
 }
 
 // List implements Instances. The result is shared between calls and must not be
@@ -40,14 +40,14 @@
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	k := call{
-		op:     "instances.list",
-		addr:   hostOf(i.base),
-		method: http.MethodGet,
-		url:    i.base + PathInstances,
-		limit:  maxInstancesBytes,
-		unless: i.etag,
+		op:          "instances.list",
+		addr:        hostOf(i.base),
+		method:      http.MethodGet,
+		url:         i.base + PathInstances,
+		limit:       maxInstancesBytes,
+		ifNoneMatch: i.etag,
 	}
-	res, err := i.caller.send(ctx, k)
+	res, err := i.httpClient.send(ctx, k)
 	if err != nil {
 		return nil, err
 	}
--- a/infra/http_log.go
+++ b/infra/http_log.go
@@ -11,30 +11,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// The HTTP form of the log: POST PathLogAppend?stream=S with an AppendBody
-// answers an AppendAnswer; GET PathLogRead?stream=S&from=N&max=N&wait_ms=N
-// answers a ReadAnswer.
+// The HTTP interface of the log. All bodies are JSON.
+//
+//   - POST PathLogAppend?stream=S takes an AppendBody and responds with an AppendAnswer.
+//   - GET PathLogRead?stream=S&from=N&max=N&wait_ms=N responds with a ReadAnswer.
 const (
 	PathLogAppend = "/log/append"
 	PathLogRead   = "/log/read"
 )
 
-// maxLogAnswerBytes bounds a read of the log: above the largest batch that the
-// log gives (8 MiB) once it is in base64.
+// maxLogAnswerBytes limits the response to a read of the log. The largest batch that the log
+// returns is 8 MiB, and base64 makes it larger by a third.
 const maxLogAnswerBytes = 16 << 20
 
-// AppendBody is the body of an append.
+// AppendBody is the request body of PathLogAppend.
 type AppendBody struct {
 	Records [][]byte `json:"records"`
 }
 
-// AppendAnswer is the answer to an append.
+// AppendAnswer is the response body of PathLogAppend.
 type AppendAnswer struct {
-	Offset Offset `json:"offset"` // of the first record
+	Offset Offset `json:"offset"` // offset of the first record
 }
 
-// ReadAnswer is the answer to a read. Records have the offsets First, First+1
-// and so on.
+// ReadAnswer is the response body of PathLogRead. The records have consecutive offsets from
+// First on.
 type ReadAnswer struct {
 	First   Offset   `json:"first"`
 	Records [][]byte `json:"records"`
@@ -42,18 +43,18 @@
 	Next    Offset   `json:"next"`
 }
 
-// HTTPLog is a Log over HTTP.
+// HTTPLog implements Log over HTTP.
 type HTTPLog struct {
-	base   string
-	addr   string
-	caller caller
+	base       string
+	addr       string
+	httpClient httpClient
 }
 
 var _ Log = (*HTTPLog)(nil)
 
-// NewHTTPLog returns the log at the base URL, such as http://10.0.0.1:7000.
+// NewHTTPLog returns a client of the log at the base URL, such as http://10.0.0.1:7000.
 func NewHTTPLog(base string, client *http.Client) *HTTPLog {
-	return &HTTPLog{base: strings.TrimRight(base, "/"), addr: hostOf(base), caller: newCaller(client)}
+	return &HTTPLog{base: strings.TrimRight(base, "/"), addr: hostOf(base), httpClient: newHTTPClient(client)}
 }
 
 // Append implements Log.
@@ -66,7 +67,7 @@
 		body:   AppendBody{Records: records},
 	}
 	var answer AppendAnswer
-	if err := l.caller.json(ctx, k, &answer); err != nil {
+	if err := l.httpClient.doJSON(ctx, k, &answer); err != nil {
 		return 0, err
 	}
 	if answer.Offset == 0 {
@@ -91,10 +92,10 @@
 		limit:  maxLogAnswerBytes,
 	}
 	var answer ReadAnswer
-	err := l.caller.json(ctx, k, &answer)
-	var aged *outOfRange
-	if errors.As(err, &aged) {
-		return aged.batch, aged.cause
+	err := l.httpClient.doJSON(ctx, k, &answer)
+	var rangeErr *outOfRangeError
+	if errors.As(err, &rangeErr) {
+		return rangeErr.batch, rangeErr.cause
 	}
 	if err != nil {
 		return Batch{}, err
@@ -110,7 +111,7 @@
 	return b
 }
 
-// hostOf returns a base URL's host:port, for errors.
+// hostOf returns the host:port of a base URL, for use in errors.
 func hostOf(base string) string {
 	u, err := url.Parse(base)
 	if err != nil {
--- a/infra/http_services.go
+++ b/infra/http_services.go
@@ -7,31 +7,31 @@
 	"net/http"
 )
 
-// Headers between this system and plain services.
+// Headers exchanged with plain services.
 const (
-	// HeaderAttempt carries the attempt's id to a plain service.
+	// HeaderAttempt is the request header with the attempt's id.
 	HeaderAttempt = "Greengageferry-Attempt"
-	// HeaderRefused comes with an answer by which a plain service's backend
-	// server refuses a call before it starts; its value is a Reason.
+	// HeaderRefused is the response header by which a backend server reports that it
+	// refused the call before starting it. Its value is a Reason.
 	HeaderRefused = "Greengageferry-Refused"
 )
 
-// HTTPServices is Services over HTTP.
+// HTTPServices implements Services over HTTP.
 type HTTPServices struct {
-	caller caller
+	httpClient httpClient
 }
 
 var _ Services = (*HTTPServices)(nil)
 
-// NewHTTPServices returns Services that call through the client.
+// NewHTTPServices returns Services that use the client.
 func NewHTTPServices(client *http.Client) *HTTPServices {
-	return &HTTPServices{caller: newCaller(client)}
+	return &HTTPServices{httpClient: newHTTPClient(client)}
 }
 
-// Call implements Services. The context bounds the reading of the body too.
+// Call implements Services. The context also bounds the reading of the response body.
 func (s *HTTPServices) Call(ctx context.Context, addr string, req ServiceRequest) (*ServiceAnswer, error) {
 	k := call{op: "service.call", addr: addr}
-	r, err := http.NewRequestWithContext(ctx, req.Method, "http://"+addr+req.Path, onceBody{bytes.NewReader(req.Body)})
+	r, err := http.NewRequestWithContext(ctx, req.Method, "http://"+addr+req.Path, nonReplayableBody{bytes.NewReader(req.Body)})
 	if err != nil {
 		return nil, &Error{Op: k.op, Addr: k.addr, Reason: ReasonBadRequest, Effect: EffectNone, Err: err}
 	}
@@ -42,7 +42,7 @@
 		r.Header = req.Header.Clone()
 	}
 	r.Header.Set(HeaderAttempt, req.Attempt)
-	res, err := s.caller.do(r, k)
+	res, err := s.httpClient.do(r, k)
 	if err != nil {
 		return nil, err
 	}
@@ -53,11 +53,11 @@
 	return &ServiceAnswer{Status: res.StatusCode, Header: res.Header, Body: res.Body}, nil
 }
 
-// onceBody hides from the HTTP transport that the body could be sent again:
-// the transport repeats a request by itself on a broken connection if its
-// method is idempotent or it bears an Idempotency-Key and its body is absent or
-// can be rewound. Whether a call may be repeated isn't the transport's to say.
-type onceBody struct{ io.Reader }
+// nonReplayableBody keeps the HTTP transport from retrying a request by itself. After a
+// broken connection the transport retries a request whose method is idempotent or that has
+// an Idempotency-Key, if its body is empty or can be rewound. This type hides both facts
+// about the body: the transport must not decide whether a call may be repeated.
+type nonReplayableBody struct{ io.Reader }
 
 // Close implements io.Closer.
-func (onceBody) Close() error { return nil }
+func (nonReplayableBody) Close() error { return nil }
--- a/infra/http_store.go
+++ b/infra/http_store.go
@@ -7,21 +7,21 @@
 	"strings"
 )
 
-// PathStoreLimits is where the weight store answers a GET with ?partner=P with
-// its StoreLimits.
+// PathStoreLimits is the path of a partner's limits at the weight store. A GET with
+// ?partner=P responds with a StoreLimits.
 const PathStoreLimits = "/store/limits"
 
-// HTTPStore is a WeightStore over HTTP.
+// HTTPStore implements WeightStore over HTTP.
 type HTTPStore struct {
-	base   string
-	caller caller
+	base       string
+	httpClient httpClient
 }
 
 var _ WeightStore = (*HTTPStore)(nil)
 
-// NewHTTPStore returns the weight store at the base URL.
+// NewHTTPStore returns a client of the weight store at the base URL.
 func NewHTTPStore(base string, client *http.Client) *HTTPStore {
-	return &HTTPStore{base: strings.TrimRight(base, "/"), caller: newCaller(client)}
+	return &HTTPStore{base: strings.TrimRight(base, "/"), httpClient: newHTTPClient(client)}
 }
 
 // Limits implements WeightStore.
@@ -33,7 +33,7 @@
 		url:    s.base + PathStoreLimits + "?partner=" + url.QueryEscape(partner),
 	}
 	var limits StoreLimits
-	if err := s.caller.json(ctx, k, &limits); err != nil {
+	if err := s.httpClient.doJSON(ctx, k, &limits); err != nil {
 		return StoreLimits{}, err
 	}
 	return limits, nil
--- a/infra/http_test.go
+++ b/infra/http_test.go
@@ -21,15 +21,15 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// client returns an HTTP client without connections left over at the test's end.
-func client(t *testing.T) *http.Client {
+// newClient returns an HTTP client whose idle connections are closed at the test's end.
+func newClient(t *testing.T) *http.Client {
 	transport := &http.Transport{}
 	t.Cleanup(transport.CloseIdleConnections)
 	return &http.Client{Transport: transport}
 }
 
-// serve starts a server that the test ends.
-func serve(t *testing.T, h http.HandlerFunc) *httptest.Server {
+// startServer starts a server that is closed at the test's end.
+func startServer(t *testing.T, h http.HandlerFunc) *httptest.Server {
 	s := httptest.NewServer(h)
 	t.Cleanup(s.Close)
 	return s
@@ -54,13 +54,13 @@
 	return l.Addr().String()
 }
 
-func TestNoEffectWhereTheDialFailed(t *testing.T) {
-	engine := infra.NewHTTPEngine(client(t))
+func TestDialFailureHasNoEffect(t *testing.T) {
+	engine := infra.NewHTTPEngine(newClient(t))
 	_, err := engine.Generate(t.Context(), closedAddr(t), infra.GenerateRequest{Attempt: "a"})
 	requireError(t, err, infra.ReasonUnreachable, infra.EffectNone)
 }
 
-func TestNoEffectWhereTheContextEndedDuringTheDial(t *testing.T) {
+func TestContextEndDuringDialHasNoEffect(t *testing.T) {
 	dialing, over := make(chan struct{}), make(chan struct{})
 	defer close(over)
 	transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
@@ -77,28 +77,28 @@
 	requireError(t, err, infra.ReasonCanceled, infra.EffectNone)
 }
 
-// bareTransport is a transport without traces.
-type bareTransport struct{}
+// untracedTransport is a transport that calls no httptrace hooks.
+type untracedTransport struct{}
 
-func (bareTransport) RoundTrip(r *http.Request) (*http.Response, error) {
+func (untracedTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	<-r.Context().Done()
 	return nil, r.Context().Err()
 }
 
-func TestEffectUnknownWhereTheTransportTracesNothing(t *testing.T) {
+func TestEffectUnknownWithoutTransportTracing(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
 	defer cancel()
-	_, err := infra.NewHTTPLog("http://127.0.0.1:1", &http.Client{Transport: bareTransport{}}).Append(ctx, "s", [][]byte{nil})
+	_, err := infra.NewHTTPLog("http://127.0.0.1:1", &http.Client{Transport: untracedTransport{}}).Append(ctx, "s", [][]byte{nil})
 	requireError(t, err, infra.ReasonTimeout, infra.EffectUnknown)
 }
 
-func TestEffectUnknownWhereTheConnectionBroke(t *testing.T) {
-	s := serve(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	err := infra.NewHTTPEngine(client(t)).Order(t.Context(), addrOf(s), infra.Order{Kind: infra.OrderFence})
+func TestEffectUnknownAfterBrokenConnection(t *testing.T) {
+	s := startServer(t, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	err := infra.NewHTTPEngine(newClient(t)).Order(t.Context(), addrOf(s), infra.Order{Kind: infra.OrderFence})
 	requireError(t, err, infra.ReasonUnreachable, infra.EffectUnknown)
 }
 
-func TestRefusalBearsTheServersWord(t *testing.T) {
+func TestRefusalCarriesServerReasonAndEffect(t *testing.T) {
 	for _, c := range []struct {
 		body   string
 		reason infra.Reason
@@ -110,37 +110,37 @@
 		{`{"effect":"none"}`, infra.ReasonUnavailable, infra.EffectUnknown},
 		{`not found`, infra.ReasonUnavailable, infra.EffectUnknown},
 	} {
-		s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+		s := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			_, _ = io.WriteString(w, c.body)
 		})
-		_, err := infra.NewHTTPEngine(client(t)).Generate(t.Context(), addrOf(s), infra.GenerateRequest{})
+		_, err := infra.NewHTTPEngine(newClient(t)).Generate(t.Context(), addrOf(s), infra.GenerateRequest{})
 		requireError(t, err, c.reason, c.effect)
 	}
 }
 
 func TestRedirectIsNotFollowed(t *testing.T) {
 	var second atomic.Int32
-	other := serve(t, func(http.ResponseWriter, *http.Request) { second.Add(1) })
-	s := serve(t, func(w http.ResponseWriter, r *http.Request) {
+	other := startServer(t, func(http.ResponseWriter, *http.Request) { second.Add(1) })
+	s := startServer(t, func(w http.ResponseWriter, r *http.Request) {
 		http.Redirect(w, r, other.URL, http.StatusTemporaryRedirect)
 	})
-	_, err := infra.NewHTTPEngine(client(t)).Generate(t.Context(), addrOf(s), infra.GenerateRequest{})
+	_, err := infra.NewHTTPEngine(newClient(t)).Generate(t.Context(), addrOf(s), infra.GenerateRequest{})
 	requireError(t, err, infra.ReasonUnavailable, infra.EffectUnknown)
 	require.Zero(t, second.Load())
 }
 
-// TestServiceCallIsSentOnce breaks an idle connection under a call that
-// net/http would send again by itself: it has an Idempotency-Key and no body.
+// TestServiceCallIsSentOnce breaks an idle connection during a call that net/http would retry
+// by itself, because the call has an Idempotency-Key and no body.
 func TestServiceCallIsSentOnce(t *testing.T) {
 	for _, method := range []string{http.MethodPost, http.MethodGet, http.MethodDelete} {
 		var calls atomic.Int32
-		s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+		s := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			if calls.Add(1) > 1 {
 				panic(http.ErrAbortHandler)
 			}
 		})
-		services := infra.NewHTTPServices(client(t))
+		services := infra.NewHTTPServices(newClient(t))
 		req := infra.ServiceRequest{Attempt: "a", Method: method, Path: "/x", Header: http.Header{"Idempotency-Key": {"k"}}}
 		first, err := services.Call(t.Context(), addrOf(s), req)
 		require.NoError(t, err)
@@ -155,8 +155,8 @@
 
 func TestServiceCall(t *testing.T) {
 	service := standin.NewService(standin.ServiceOptions{Name: "invoices"})
-	s := serve(t, service.ServeHTTP)
-	services := infra.NewHTTPServices(client(t))
+	s := startServer(t, service.ServeHTTP)
+	services := infra.NewHTTPServices(newClient(t))
 	req := infra.ServiceRequest{Attempt: "a1", Method: http.MethodPut, Path: "/orders/7?dry=1", Body: []byte("two trays")}
 	answer, err := services.Call(t.Context(), addrOf(s), req)
 	require.NoError(t, err)
@@ -174,10 +174,10 @@
 	require.Len(t, service.Truth(), 1)
 }
 
-// events starts a stream from a server that sends the text and then breaks off
-// or ends.
-func events(t *testing.T, text string, abort bool) infra.Stream {
-	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+// startStream starts a stream from a server that sends the text and then aborts the
+// connection or ends the response.
+func startStream(t *testing.T, text string, abort bool) infra.Stream {
+	s := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", infra.ContentTypeEvents)
 		_, _ = io.WriteString(w, text)
 		_ = http.NewResponseController(w).Flush()
@@ -185,19 +185,19 @@
 			panic(http.ErrAbortHandler)
 		}
 	})
-	stream, err := infra.NewHTTPEngine(client(t)).Generate(t.Context(), addrOf(s), infra.GenerateRequest{})
+	stream, err := infra.NewHTTPEngine(newClient(t)).Generate(t.Context(), addrOf(s), infra.GenerateRequest{})
 	require.NoError(t, err)
 	t.Cleanup(func() { stream.Close() })
 	return stream
 }
 
-func TestStreamEndsOnlyAfterItsFinish(t *testing.T) {
+func TestStreamEndsOnlyAfterFinish(t *testing.T) {
 	const token = "data: {\"attempt\":\"a\",\"token\":\"x\"}\n\n"
 	const finish = "data: {\"attempt\":\"a\",\"index\":1,\"finish\":\"stop\"}\n\n"
 	for _, c := range []struct {
 		name, text string
 		abort      bool
-		reason     infra.Reason // empty: it ends well
+		reason     infra.Reason // empty: the stream ends normally
 	}{
 		{"whole", token + finish, false, ""},
 		{"ends early", token, false, infra.ReasonUnreachable},
@@ -207,7 +207,7 @@
 		{"endless line", token + "data: " + strings.Repeat("x", 1<<20), false, infra.ReasonProtocol},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			stream := events(t, c.text, c.abort)
+			stream := startStream(t, c.text, c.abort)
 			first, err := stream.Recv()
 			require.NoError(t, err)
 			require.Equal(t, infra.Event{Attempt: "a", Token: "x"}, first)
@@ -228,7 +228,7 @@
 	s, err := standin.Start("127.0.0.1:0", standin.NewLog(standin.LogOptions{RetainedRecords: 2}))
 	require.NoError(t, err)
 	defer s.Close()
-	log := infra.NewHTTPLog(s.URL()+"/", client(t))
+	log := infra.NewHTTPLog(s.URL()+"/", newClient(t))
 	stream := infra.ControlStream("dock-hall-a")
 	offset, err := log.Append(t.Context(), stream, [][]byte{{1}, {2}, {3}})
 	require.NoError(t, err)
@@ -244,22 +244,22 @@
 func TestHTTPInstancesAndStore(t *testing.T) {
 	list := standin.NewInstanceList(0)
 	list.Put(infra.Instance{ID: "e1", Role: infra.RoleEntry, State: infra.StateLive, Addr: "127.0.0.1:1"})
-	s := serve(t, list.ServeHTTP)
-	got, err := infra.NewHTTPInstances(s.URL, client(t)).List(t.Context())
+	s := startServer(t, list.ServeHTTP)
+	got, err := infra.NewHTTPInstances(s.URL, newClient(t)).List(t.Context())
 	require.NoError(t, err)
 	require.Equal(t, list.Truth(), got)
 
 	limits := infra.StoreLimits{LoadsPerSecond: 3, ConcurrentLoads: 3}
-	store := serve(t, standin.NewWeightStore(standin.StoreOptions{Limits: map[string]infra.StoreLimits{"kitchen": limits}}).ServeHTTP)
-	read, err := infra.NewHTTPStore(store.URL, client(t)).Limits(t.Context(), "kitchen")
+	store := startServer(t, standin.NewWeightStore(standin.StoreOptions{Limits: map[string]infra.StoreLimits{"kitchen": limits}}).ServeHTTP)
+	read, err := infra.NewHTTPStore(store.URL, newClient(t)).Limits(t.Context(), "kitchen")
 	require.NoError(t, err)
 	require.Equal(t, limits, read)
 }
 
-func TestAnswerIsBounded(t *testing.T) {
-	s := serve(t, func(w http.ResponseWriter, _ *http.Request) {
+func TestResponseSizeIsLimited(t *testing.T) {
+	s := startServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, `{"id":"`+strings.Repeat("x", 8<<20)+`"}`)
 	})
-	_, err := infra.NewHTTPEngine(client(t)).Status(t.Context(), addrOf(s))
+	_, err := infra.NewHTTPEngine(newClient(t)).Status(t.Context(), addrOf(s))
 	requireError(t, err, infra.ReasonProtocol, infra.EffectUnknown)
 }
--- a/infra/instances.go
+++ b/infra/instances.go
@@ -2,7 +2,7 @@
 
 import "context"
 
-// Role says what an instance on the list does.
+// Role is the function of an instance on the list.
 type Role string
 
 // The roles of instances.
@@ -12,25 +12,25 @@
 	RoleService Role = "service" // a backend server: a plain service
 )
 
-// InstanceState is what the list says of an instance.
+// InstanceState is the state of an instance on the list.
 type InstanceState string
 
-// The states of instances. An instance that is gone is absent from the list.
+// The states of instances. An instance that has ended is not on the list.
 const (
 	StateLive    InstanceState = "live"
-	StateLeaving InstanceState = "leaving" // gets no new work
+	StateLeaving InstanceState = "leaving" // is draining and must get no new work
 )
 
-// Instance is one line of the platform's list. The list lags: a line may be
-// missing or out of date.
+// Instance is one entry of the platform's list. The list lags: entries may be missing or
+// out of date.
 type Instance struct {
-	ID            string        `json:"id"` // unique; a replaced instance has another one
+	ID            string        `json:"id"` // unique; a replacement instance has a new id
 	Role          Role          `json:"role"`
 	State         InstanceState `json:"state"`
 	Region        string        `json:"region"`
 	FailureDomain string        `json:"failure_domain"`
-	Pool          string        `json:"pool,omitempty"` // a backend server's pool or service name
-	Addr          string        `json:"addr"`           // IP:port; for an entry instance the peers' listener
+	Pool          string        `json:"pool,omitempty"` // name of a backend server's pool or plain service
+	Addr          string        `json:"addr"`           // IP:port; for an entry instance, the address for its peers
 	MemoryMiB     int64         `json:"memory_mib,omitempty"`
 }
 
--- a/infra/log.go
+++ b/infra/log.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Offset is a record's place in its stream. The first record of a stream has
-// offset 1; zero means "before the first".
+// Offset is the position of a record in its stream. The first record has offset 1; zero is
+// the position before the first record.
 type Offset uint64
 
 // Record is one entry of a stream.
@@ -15,32 +15,31 @@
 	Data   []byte // an encoded record.Record; opaque to the log
 }
 
-// Batch is the answer to a read.
+// Batch is the result of a read.
 type Batch struct {
-	Records []Record // ascending, without gaps; may be empty
-	Oldest  Offset   // the oldest offset that the stream still keeps (Next if it keeps none)
-	Next    Offset   // the offset that the next append will get
+	Records []Record // in ascending order of offsets, without gaps; may be empty
+	Oldest  Offset   // the oldest retained offset (Next if no record is retained)
+	Next    Offset   // the offset of the next record to be appended
 }
 
-// Log is the platform's append-only log service. Streams are independent: an
-// order holds within one stream only.
+// Log is the platform's append-only log service. Records are ordered only within their
+// stream.
 type Log interface {
-	// Append adds the records in order, as one unit, and returns the offset of
-	// the first. On an error with EffectUnknown they may be on the log.
+	// Append appends the records atomically, in order, and returns the offset of the
+	// first. On an error with EffectUnknown the records may be on the log.
 	Append(ctx context.Context, stream string, records [][]byte) (Offset, error)
 
-	// Read returns up to max records with offsets of at least from. If there
-	// are none it waits up to wait for one to arrive. A from older than the
-	// oldest kept record gives ReasonOutOfRange together with a Batch whose
-	// Oldest and Next are set.
+	// Read returns up to max records with offsets of at least from. If there are none, it
+	// waits up to wait for one. If from is older than the oldest retained record, it
+	// returns an *Error with ReasonOutOfRange and a Batch with Oldest and Next set.
 	Read(ctx context.Context, stream string, from Offset, max int, wait time.Duration) (Batch, error)
 }
 
 // The names of the log's streams.
 const (
-	StreamConfig     = "config"     // which file versions are in force
-	StreamQuarantine = "quarantine" // fingerprints of requests that crash backend servers
+	StreamConfig     = "config"     // changes of configuration files and their verdicts
+	StreamQuarantine = "quarantine" // fingerprints of requests that crashed backend servers
 )
 
-// ControlStream names the stream of a failure domain's lease and assignments.
+// ControlStream returns the name of the stream of a failure domain's lease and assignments.
 func ControlStream(domain string) string { return "control/" + domain }
--- a/infra/prefix.go
+++ b/infra/prefix.go
@@ -2,12 +2,12 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// PrefixBytes is how much of a prompt's beginning names it in prefix caches:
-// long enough to hold a system prompt's distinct part, short enough to hash in
+// PrefixBytes is the length of the start of a prompt that identifies it in prefix caches.
+// It is long enough for the distinctive part of a system prompt and short enough to hash in
 // under a microsecond.
 const PrefixBytes = 512
 
-// PrefixHash returns the hash of the prompt's first PrefixBytes bytes.
+// PrefixHash returns a hash of the prompt's first PrefixBytes bytes.
 func PrefixHash(prompt string) uint64 {
 	if len(prompt) > PrefixBytes {
 		prompt = prompt[:PrefixBytes]
