--- a/whole/deploy_test.go
+++ b/whole/deploy_test.go
@@ -29,25 +29,25 @@
 	"greengageferry/standin"
 )
 
-// Places of the network beside the entry instances, which are places of their
-// own so that each can be cut off.
+// Places of the simulated network. Each failure domain and each entry instance is a place
+// too, so that the tests can partition each of them separately.
 const (
 	placePlatform = "platform"
 	placeCallers  = "callers"
 )
 
-// recoverLimit bounds how long a system that nothing disturbs any more may take
-// to serve every model again. It is no verdict on speed: a test that runs into
-// it has found that a model is out of reach.
-const recoverLimit = 90 * time.Second
+// recoveryTimeout is how long the tests wait for an event, such as that the undisturbed
+// system serves every model again. It is generous, so that exceeding it means a fault and
+// not a slow machine.
+const recoveryTimeout = 90 * time.Second
 
-// quick is the time that an engine's steps take, as a part of the usual: a
-// token takes some 2 ms, so that a failure meets many answers within seconds.
-const quick = 0.2
+// engineTimeFactor scales the duration of an engine's steps. A token takes about 2 ms with
+// this factor, so that many answers are in progress during a failure that lasts seconds.
+const engineTimeFactor = 0.2
 
-// entrySettings are an instance's settings with short times, so that a failure
-// runs its whole course within seconds.
-const entrySettings = `
+// settingsTemplate holds an instance's settings with short times, so that a failure and the
+// recovery from it take only seconds.
+const settingsTemplate = `
 [instance]
 id = %q
 region = %q
@@ -71,8 +71,8 @@
 shutdown_delay = "500ms"
 `
 
-// deployment is both partners' deployments in small, with two entry instances
-// in each failure domain.
+// deployment is a small version of both partners' deployments, with two entry instances in
+// each failure domain.
 type deployment struct {
 	t        *testing.T
 	platform *quickstart.Platform
@@ -81,24 +81,25 @@
 	nodes    []*node
 	group    errgroup.Group
 	clients  []*http.Transport
-	logs     tail
+	logs     logTail
 
 	mu    sync.Mutex
-	truth Truth
-	calls int // numbers requests, so that no two are alike
+	truth GroundTruth
+	calls int // number of requests created; makes each request unique
 }
 
-// tailBytes is how much of the log a failed test shows.
+// tailBytes is the minimum length of the log's end that a failed test prints, if the log is
+// longer.
 const tailBytes = 1 << 20
 
-// tail keeps the end of what is written to it.
-type tail struct {
+// logTail keeps the end of the data that is written to it.
+type logTail struct {
 	mu   sync.Mutex
 	data []byte
 }
 
 // Write implements io.Writer.
-func (l *tail) Write(p []byte) (int, error) {
+func (l *logTail) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.data = append(l.data, p...)
@@ -108,8 +109,8 @@
 	return len(p), nil
 }
 
-// String returns what is kept.
-func (l *tail) String() string {
+// String returns the data that is kept.
+func (l *logTail) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return string(l.data)
@@ -123,38 +124,38 @@
 	stop   context.CancelFunc
 	ended  chan struct{}
 
-	mu      sync.Mutex
-	gone    bool // killed, or shut down: gets no more requests
-	cut     bool // cut off: need not know the newest configuration
-	rejoins time.Time
+	mu          sync.Mutex
+	gone        bool // killed or shut down: gets no more requests
+	partitioned bool // need not have the newest configuration
+	catchUpBy   time.Time
 }
 
-// deploy starts a deployment and waits until every declared model answers.
+// deploy starts a deployment and waits until every declared model is reachable.
 func deploy(t *testing.T) *deployment {
 	d := newDeployment(t)
-	d.publish()
+	d.publishConfig()
 	d.startEntries()
-	d.reachable("at the start")
+	d.waitReachable("at the start")
 	return d
 }
 
-// newDeployment starts the stand-ins of a deployment.
+// newDeployment starts the stand-ins of a deployment, without entry instances.
 func newDeployment(t *testing.T) *deployment {
 	p, err := quickstart.StartPlatform(quickstart.PlatformOptions{History: true, RestartTime: 500 * time.Millisecond})
 	require.NoError(t, err)
 	d := &deployment{t: t, platform: p, network: standin.NewNetwork()}
-	d.truth = Truth{Leaving: map[string]time.Time{}, Shutdowns: map[string]time.Time{}}
+	d.truth = GroundTruth{Leaving: map[string]time.Time{}, Shutdowns: map[string]time.Time{}}
 	t.Cleanup(d.close)
-	d.truth.Models = declared(t)
-	d.placeServers()
+	d.truth.Models = declaredModels(t)
+	d.placeOnNetwork()
 	for _, e := range p.Engines {
-		e.SetSlow(quick)
+		e.SetSlow(engineTimeFactor)
 	}
 	return d
 }
 
-// publish puts the partners' files on the log.
-func (d *deployment) publish() {
+// publishConfig proposes the partners' configuration files on the log.
+func (d *deployment) publishConfig() {
 	files, err := quickstart.Files()
 	require.NoError(d.t, err)
 	for i, f := range files {
@@ -170,8 +171,9 @@
 	}
 }
 
-// placeServers puts the platform and the backend servers into the network.
-func (d *deployment) placeServers() {
+// placeOnNetwork assigns the platform's services and the backend servers to places of the
+// network.
+func (d *deployment) placeOnNetwork() {
 	for _, name := range []string{"log", "list", "store"} {
 		d.network.Place(d.platform.Servers[name].Addr(), placePlatform)
 	}
@@ -180,7 +182,8 @@
 	}
 }
 
-// transport returns a transport whose dials go through the network.
+// transport returns an HTTP transport that dials from the place through the simulated
+// network.
 func (d *deployment) transport(place string) *http.Transport {
 	t := &http.Transport{DialContext: d.network.Dialer(place, place), MaxIdleConnsPerHost: 64}
 	d.mu.Lock()
@@ -189,10 +192,10 @@
 	return t
 }
 
-// start starts an entry instance and puts it on the platform's list.
+// start starts an entry instance and adds it to the platform's list.
 func (d *deployment) start(domain quickstart.Domain) *node {
 	n := &node{id: fmt.Sprintf("entry-%s-%d", domain.Name, len(d.nodes)+1), domain: domain, ended: make(chan struct{})}
-	text := fmt.Sprintf(entrySettings, n.id, domain.Region, domain.Name,
+	text := fmt.Sprintf(settingsTemplate, n.id, domain.Region, domain.Name,
 		d.platform.Servers["log"].URL(), d.platform.Servers["list"].URL(), d.platform.Servers["store"].URL())
 	s, err := settings.Parse(n.id, []byte(text))
 	require.NoError(d.t, err)
@@ -227,11 +230,11 @@
 	return []string{n.entry.CallersAddr(), n.entry.PeersAddr(), n.entry.OperatorsAddr()}
 }
 
-// close ends everything, and shows the instances' last log lines if the test
-// has failed.
+// close stops all instances and stand-ins, and prints the instances' last log lines if the
+// test has failed.
 func (d *deployment) close() {
 	if d.t.Failed() {
-		d.t.Logf("the last log lines:\n%s", d.logs.String())
+		d.t.Logf("last log lines:\n%s", d.logs.String())
 	}
 	for _, n := range d.nodes {
 		n.stop()
@@ -257,8 +260,8 @@
 	return offset
 }
 
-// inForce replays the config stream from the log's own records.
-func (d *deployment) inForce() *replay.ConfigView {
+// activeConfig returns the state of the config stream, replayed from the log's records.
+func (d *deployment) activeConfig() *replay.ConfigView {
 	machine := replay.NewConfig()
 	for _, r := range d.platform.Log.Truth().Records[infra.StreamConfig] {
 		var rec record.Record
@@ -268,35 +271,35 @@
 	return machine.View()
 }
 
-// watchConfig notes what is accepted and what each instance has in force, until
-// ctx ends.
+// watchConfig records the accepted versions of the configuration and the version that each
+// instance has in force, until ctx ends.
 func (d *deployment) watchConfig(ctx context.Context) {
 	client := &http.Client{Transport: d.transport("operators"), Timeout: 2 * time.Second}
 	var accepted uint64
 	for ctx.Err() == nil {
-		if changed := uint64(d.inForce().Changed); changed > accepted {
+		if changed := uint64(d.activeConfig().Changed); changed > accepted {
 			accepted = changed
 			d.mu.Lock()
-			d.truth.Accepted = append(d.truth.Accepted, Accepted{Offset: accepted, At: time.Now()})
+			d.truth.AcceptedConfig = append(d.truth.AcceptedConfig, AcceptedConfig{Offset: accepted, At: time.Now()})
 			d.mu.Unlock()
 		}
 		for _, n := range d.nodes {
-			d.look(ctx, client, n)
+			d.observeConfig(ctx, client, n)
 		}
-		pause(ctx, 200*time.Millisecond)
+		sleep(ctx, 200*time.Millisecond)
 	}
 }
 
-// look asks one instance what it has in force.
-func (d *deployment) look(ctx context.Context, client *http.Client, n *node) {
+// observeConfig records the version of the configuration that an instance has in force.
+func (d *deployment) observeConfig(ctx context.Context, client *http.Client, n *node) {
 	asked := time.Now()
 	status, err := n.status(ctx, client)
-	if err != nil || !n.mustKnow(asked) {
+	if err != nil || !n.mustHaveConfig(asked) {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.truth.Seen = append(d.truth.Seen, Seen{Instance: n.id, Offset: status.ConfigOffset, At: asked})
+	d.truth.ObservedConfig = append(d.truth.ObservedConfig, ObservedConfig{Instance: n.id, Offset: status.ConfigOffset, At: asked})
 }
 
 func (n *node) status(ctx context.Context, client *http.Client) (entry.Status, error) {
@@ -313,12 +316,12 @@
 	return status, json.NewDecoder(res.Body).Decode(&status)
 }
 
-// mustKnow says whether the instance has to have the newest configuration: it
-// lives, isn't cut off, and has had the time since it was.
-func (n *node) mustKnow(now time.Time) bool {
+// mustHaveConfig reports whether the instance must have the newest configuration in force:
+// it runs, is not partitioned, and has had time to catch up since a partition.
+func (n *node) mustHaveConfig(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.gone && !n.cut && now.After(n.rejoins)
+	return !n.gone && !n.partitioned && now.After(n.catchUpBy)
 }
 
 func (n *node) setGone() {
@@ -327,45 +330,45 @@
 	n.gone = true
 }
 
-func (n *node) setCut(cut bool) {
+func (n *node) setPartitioned(partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
-	n.rejoins = time.Now().Add(ConfigLimit)
+	n.partitioned = partitioned
+	n.catchUpBy = time.Now().Add(ConfigPropagationLimit)
 }
 
-// live returns the instances that take requests.
-func (d *deployment) live() []*node {
-	var live []*node
+// liveNodes returns the instances that still get requests.
+func (d *deployment) liveNodes() []*node {
+	var liveNodes []*node
 	for _, n := range d.nodes {
 		n.mu.Lock()
 		if !n.gone {
-			live = append(live, n)
+			liveNodes = append(liveNodes, n)
 		}
 		n.mu.Unlock()
 	}
-	return live
+	return liveNodes
 }
 
-// reachable waits until each declared model answers through some instance.
-func (d *deployment) reachable(when string) {
-	deadline := time.Now().Add(recoverLimit)
+// waitReachable waits until each declared model has answered through some instance.
+func (d *deployment) waitReachable(when string) {
+	deadline := time.Now().Add(recoveryTimeout)
 	transport := d.transport(placeCallers)
 	for _, m := range d.truth.Models {
 		for !d.probe(transport, m) {
 			if time.Now().After(deadline) {
-				d.explain()
-				require.Fail(d.t, when+": "+m.Name+" isn't reachable")
+				d.dumpState()
+				require.Fail(d.t, when+": model "+m.Name+" is not reachable")
 			}
-			pause(d.t.Context(), 100*time.Millisecond)
+			sleep(d.t.Context(), 100*time.Millisecond)
 		}
 	}
 }
 
-// explain shows what each instance sees and counts, and what the engines hold.
-func (d *deployment) explain() {
+// dumpState logs the status and metrics of each instance and the status of each engine.
+func (d *deployment) dumpState() {
 	client := &http.Client{Transport: d.transport("operators"), Timeout: 2 * time.Second}
-	for _, n := range d.live() {
+	for _, n := range d.liveNodes() {
 		for _, path := range []string{entry.PathStatus, entry.PathMetrics} {
 			res, err := client.Get("http://" + n.entry.OperatorsAddr() + path)
 			if err != nil {
@@ -384,10 +387,10 @@
 	}
 }
 
-// probe asks for a model once, and says whether it answered.
+// probe requests a model once through a random instance, and reports whether it answered.
 func (d *deployment) probe(transport *http.Transport, m Model) bool {
-	live := d.live()
-	n := live[rand.IntN(len(live))]
+	liveNodes := d.liveNodes()
+	n := liveNodes[rand.IntN(len(liveNodes))]
 	r := d.newRequest(m)
 	r.Timeout = 3 * time.Second
 	r.MaxTokens = 5
@@ -402,7 +405,7 @@
 	return &load.Client{HTTP: &http.Client{Transport: transport}, URL: "http://" + n.entry.CallersAddr(), Key: key}
 }
 
-// newRequest returns a request that is like no other.
+// newRequest returns a request with a unique prompt and seed.
 func (d *deployment) newRequest(m Model) load.Request {
 	d.mu.Lock()
 	d.calls++
@@ -411,8 +414,8 @@
 	return load.Request{Model: m.Name, Prompt: fmt.Sprintf("request %d", number), MaxTokens: 40, Seed: uint64(number), Timeout: 5 * time.Second}
 }
 
-// check compares what callers were told with what happened, and tells how much
-// each rule looked at.
+// check checks each rule, and logs the number of answers by outcome and the number of events
+// that each check covered.
 func (d *deployment) check() {
 	for _, e := range d.platform.Engines {
 		d.truth.Engines = append(d.truth.Engines, e.Truth())
@@ -421,13 +424,13 @@
 	for id, s := range d.platform.Services {
 		d.truth.Services[id] = s.Truth()
 	}
-	history := d.history.Told()
+	history := d.history.CallerView()
 	outcomes := map[string]int{}
 	for _, t := range history {
 		outcomes[t.kind()+" "+string(t.Answer.Outcome)+" "+t.Answer.Code]++
 	}
 	for _, name := range slices.Sorted(maps.Keys(outcomes)) {
-		d.t.Logf("%6d told: %s", outcomes[name], name)
+		d.t.Logf("%6d answers: %s", outcomes[name], name)
 	}
 	for _, r := range Check(history, d.truth) {
 		d.t.Logf("%6d events: %s", r.Events, r.Rule)
@@ -437,14 +440,14 @@
 	}
 }
 
-// kind classes a request for the log of a test.
-func (t Told) kind() string {
+// kind returns the kind of the request, for the log of a test.
+func (t CallerView) kind() string {
 	switch {
-	case t.Service.Service != "" && t.key() != "":
+	case t.Service.Service != "" && t.idempotencyKey() != "":
 		return "keyed service call"
 	case t.Service.Service != "":
 		return "service call"
-	case t.key() != "":
+	case t.idempotencyKey() != "":
 		return "keyed"
 	case t.nonIdempotent():
 		return "run once"
@@ -454,16 +457,16 @@
 	return "whole"
 }
 
-// pause waits, or until ctx ends.
-func pause(ctx context.Context, t time.Duration) {
+// sleep waits for t or until ctx ends.
+func sleep(ctx context.Context, t time.Duration) {
 	select {
 	case <-time.After(t):
 	case <-ctx.Done():
 	}
 }
 
-// declared returns what the partners' files declare.
-func declared(t *testing.T) []Model {
+// declaredModels returns the models and adapters that the partners' files declare.
+func declaredModels(t *testing.T) []Model {
 	files, err := quickstart.Files()
 	require.NoError(t, err)
 	cfg, _, err := config.Build(files)
--- a/whole/failures_test.go
+++ b/whole/failures_test.go
@@ -22,78 +22,79 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	// callers is how many send at a time: enough that each failure meets
-	// requests in each state, and few enough that the servers aren't full.
-	callers = 12
-	// some is how many whole answers a failure lasts for: each kind of request
-	// is among them many times.
-	some = 100
+	// concurrentCallers is the number of callers: enough that requests in every state are
+	// present during each failure, and few enough that the servers have spare capacity.
+	concurrentCallers = 12
+	// answersPerPhase is the number of complete answers for which a phase of a test lasts;
+	// they include each kind of request many times.
+	answersPerPhase = 100
 )
 
-// underTraffic runs a failure while callers send, then lets the system recover
-// and checks it.
-func underTraffic(t *testing.T, fail func(d *deployment, tr *traffic)) {
+// runUnderTraffic causes a failure while callers send requests, waits for the recovery and
+// checks the rules.
+func runUnderTraffic(t *testing.T, fail func(d *deployment, tr *traffic)) {
 	t.Parallel()
 	began := time.Now()
 	d := deploy(t)
-	t.Logf("every model answered %v after the start", time.Since(began).Round(time.Second))
-	tr := d.startTraffic(callers)
-	tr.completed(some)
+	t.Logf("every model was reachable %v after the start", time.Since(began).Round(time.Second))
+	tr := d.startTraffic(concurrentCallers)
+	tr.waitCompleted(answersPerPhase)
 	fail(d, tr)
-	tr.completed(some)
+	tr.waitCompleted(answersPerPhase)
 	tr.stop()
-	d.reachable("after the failure")
+	d.waitReachable("after the failure")
 	d.check()
 }
 
-// TestWholeStartBeforeAnyConfiguration has leases held before anything is
-// declared.
+// TestWholeStartBeforeAnyConfiguration publishes the configuration only after leases are
+// held: instances that start without a configuration must serve it once it exists.
 func TestWholeStartBeforeAnyConfiguration(t *testing.T) {
 	t.Parallel()
 	d := newDeployment(t)
 	d.startEntries()
 	client := &http.Client{Transport: d.transport("operators"), Timeout: 2 * time.Second}
 	for _, n := range d.nodes {
-		until(t, "leases", func() bool {
+		waitUntil(t, "leases", func() bool {
 			status, err := n.status(t.Context(), client)
 			return err == nil && len(status.Leases) > 0 && status.Leases[0].Holder != "" && status.Leases[0].Orderers > 0
 		})
 	}
-	d.publish()
-	d.reachable("after the configuration")
+	d.publishConfig()
+	d.waitReachable("after the configuration")
 	d.check()
 }
 
 func TestWholeInstanceKilled(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		for _, n := range []*node{d.nodes[0], d.nodes[5]} {
 			d.kill(n)
-			tr.completed(some)
+			tr.waitCompleted(answersPerPhase)
 			d.platform.List.Remove(n.id)
 		}
 	})
 }
 
-// kill has an instance die, seen from outside.
+// kill simulates a crash of the instance: the network breaks the instance's connections and
+// refuses new ones.
 func (d *deployment) kill(n *node) {
 	n.setGone()
 	d.network.Kill(n.id, n.addrs()...)
 }
 
 func TestWholeGracefulShutdownUnderStreams(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		for _, n := range []*node{d.nodes[1], d.nodes[6]} {
-			streams := d.longStreams(n)
+			streams := d.startLongStreams(n)
 			d.shutDown(n)
 			streams.Wait()
-			tr.completed(some)
+			tr.waitCompleted(answersPerPhase)
 		}
 	})
 }
 
-// longStreams starts long answers of an instance, and returns once all have
-// begun to run at servers.
-func (d *deployment) longStreams(n *node) *sync.WaitGroup {
+// startLongStreams starts long streams through an instance, and returns once servers have
+// accepted all of them.
+func (d *deployment) startLongStreams(n *node) *sync.WaitGroup {
 	var streams sync.WaitGroup
 	transport := d.transport(placeCallers)
 	var prompts []uint64
@@ -103,9 +104,9 @@
 		prompts = append(prompts, standin.PromptHash(r.Prompt))
 		streams.Go(func() { d.history.Send(context.Background(), n.id, d.client(transport, n, m.Partner), r) })
 	}
-	until(d.t, "long answers to begin", func() bool {
+	waitUntil(d.t, "long streams to start", func() bool {
 		for _, prompt := range prompts {
-			if !d.runs(prompt) {
+			if !d.wasAccepted(prompt) {
 				return false
 			}
 		}
@@ -114,8 +115,8 @@
 	return &streams
 }
 
-// runs says whether a request was accepted by an engine.
-func (d *deployment) runs(prompt uint64) bool {
+// wasAccepted reports whether an engine accepted the request whose prompt has this hash.
+func (d *deployment) wasAccepted(prompt uint64) bool {
 	for _, e := range d.platform.Engines {
 		for _, r := range e.Truth().Runs {
 			if r.Prompt == prompt {
@@ -126,8 +127,8 @@
 	return false
 }
 
-// shutDown ends an instance gracefully: the balancer sends it nothing new, and
-// it is told to end.
+// shutDown shuts an instance down gracefully: callers send it no new requests, and its
+// context is canceled.
 func (d *deployment) shutDown(n *node) {
 	n.setGone()
 	d.mu.Lock()
@@ -138,23 +139,23 @@
 	d.platform.List.Remove(n.id)
 }
 
-// TestWholeInstancesCut cuts each instance of a failure domain in turn off from
-// all else, for longer than a lease: the lease's holder is among them, and
-// doesn't know that its lease has lapsed. What it was sending goes out once the
-// cut heals.
-func TestWholeInstancesCut(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+// TestWholeInstancesPartitioned partitions the instances of a failure domain one after the other
+// from everything else, for longer than a lease. One of them is the lease holder, which
+// doesn't learn that its lease has expired. What it was sending is delivered once the
+// partition heals.
+func TestWholeInstancesPartitioned(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		for _, n := range d.nodes[:2] {
-			d.cutOff([]*node{n})
-			tr.completed(2 * some)
+			d.partition([]*node{n})
+			tr.waitCompleted(2 * answersPerPhase)
 			time.Sleep(3 * time.Second) // longer than a lease
-			d.join([]*node{n})
-			tr.completed(some)
+			d.heal([]*node{n})
+			tr.waitCompleted(answersPerPhase)
 		}
 	})
 }
 
-// places returns all places of the network.
+// places returns all network places but that of the callers.
 func (d *deployment) places() []string {
 	places := []string{placePlatform}
 	for _, domain := range quickstart.Domains() {
@@ -166,8 +167,8 @@
 	return places
 }
 
-// inside returns the places of the nodes.
-func inside(nodes []*node) map[string]bool {
+// nodePlaces returns the network places of the nodes.
+func nodePlaces(nodes []*node) map[string]bool {
 	places := map[string]bool{}
 	for _, n := range nodes {
 		places[n.id] = true
@@ -175,74 +176,74 @@
 	return places
 }
 
-// cutOff cuts nodes off from all places but the callers and each other; callers
-// go on sending to them. With more than one node the backend servers of their
-// failure domain stay with them.
-func (d *deployment) cutOff(nodes []*node) {
-	with := inside(nodes)
+// partition partitions nodes from everything but each other and the callers, which keep
+// sending to them. If there is more than one node, the nodes can still reach the backend
+// servers of their failure domain.
+func (d *deployment) partition(nodes []*node) {
+	isolated := nodePlaces(nodes)
 	if len(nodes) > 1 {
-		with[nodes[0].domain.Name] = true
+		isolated[nodes[0].domain.Name] = true
 	}
 	for _, n := range nodes {
-		n.setCut(true)
+		n.setPartitioned(true)
 	}
-	for place := range with {
+	for place := range isolated {
 		for _, other := range d.places() {
-			if !with[other] {
+			if !isolated[other] {
 				d.network.Cut(place, other)
 			}
 		}
 	}
 }
 
-// join heals what cutOff cut.
-func (d *deployment) join(nodes []*node) {
-	with := inside(nodes)
-	with[nodes[0].domain.Name] = true
-	for place := range with {
+// heal heals the partition that partition made.
+func (d *deployment) heal(nodes []*node) {
+	isolated := nodePlaces(nodes)
+	isolated[nodes[0].domain.Name] = true
+	for place := range isolated {
 		for _, other := range d.places() {
 			d.network.Heal(place, other)
 		}
 	}
 	for _, n := range nodes {
-		n.setCut(false)
+		n.setPartitioned(false)
 	}
 }
 
-func TestWholeDomainCut(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+func TestWholeDomainPartitioned(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		domain := d.nodes[2:4]
-		d.cutOff(domain)
-		tr.completed(2 * some)
-		d.join(domain)
-		tr.completed(some)
+		d.partition(domain)
+		tr.waitCompleted(2 * answersPerPhase)
+		d.heal(domain)
+		tr.waitCompleted(answersPerPhase)
 	})
 }
 
 func TestWholeLogDown(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		d.platform.Log.Faults.Set(standin.Always(standin.Fault{Lost: true}))
-		tr.completed(some / 2)
+		tr.waitCompleted(answersPerPhase / 2)
 		for _, e := range d.engines()[:2] {
 			e.Restart(200 * time.Millisecond)
 		}
-		tr.completed(some / 2)
+		tr.waitCompleted(answersPerPhase / 2)
 		d.platform.Log.Faults.Set(nil)
 	})
 }
 
-func TestWholeLogSlowAndItsAnswersLost(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+func TestWholeLogSlowWithLostResponses(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		d.platform.Log.Faults.Set(standin.Always(standin.Fault{Delay: 300 * time.Millisecond}, "log.append"))
-		tr.completed(some)
-		d.platform.Log.Faults.Set(oneIn(3, standin.Fault{AnswerLost: true}, "log.append"))
-		tr.completed(2 * some)
+		tr.waitCompleted(answersPerPhase)
+		d.platform.Log.Faults.Set(everyNth(3, standin.Fault{AnswerLost: true}, "log.append"))
+		tr.waitCompleted(2 * answersPerPhase)
 		d.platform.Log.Faults.Set(nil)
 	})
 }
 
-// oneIn gives each nth call of an operation the fault.
-func oneIn(n int, f standin.Fault, op string) standin.FaultHook {
+// everyNth returns a hook that gives every nth call of an operation the fault.
+func everyNth(n int, f standin.Fault, op string) standin.FaultHook {
 	return func(o string, i int) standin.Fault {
 		if o == op && i%n == 0 {
 			return f
@@ -251,7 +252,7 @@
 	}
 }
 
-// engines returns the engines, in the order of their ids.
+// engines returns the engines, ordered by id.
 func (d *deployment) engines() []*standin.Engine {
 	var engines []*standin.Engine
 	for _, i := range d.platform.List.Truth() {
@@ -262,10 +263,10 @@
 	return engines
 }
 
-// TestWholeOrdersLostLateAndTwice restarts engines empty while orders are lost,
-// come late, come twice, and take effect without an answer.
-func TestWholeOrdersLostLateAndTwice(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+// TestWholeOrdersLostDelayedAndDuplicated restarts engines, which then have nothing loaded, while
+// orders are lost, delayed or duplicated, or take effect although their response is lost.
+func TestWholeOrdersLostDelayedAndDuplicated(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		faults := []standin.Fault{
 			{Lost: true},
 			{Late: 2 * time.Second},
@@ -284,7 +285,7 @@
 		}
 		for _, e := range d.engines() {
 			e.Restart(200 * time.Millisecond)
-			tr.completed(some / 2)
+			tr.waitCompleted(answersPerPhase / 2)
 		}
 		for _, e := range d.engines() {
 			e.Faults.Set(nil)
@@ -293,11 +294,11 @@
 }
 
 func TestWholeServersSlowAndLeaving(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		engines := d.engines()
-		engines[0].SetSlow(20 * quick)
-		tr.completed(some)
-		engines[0].SetSlow(quick)
+		engines[0].SetSlow(20 * engineTimeFactor)
+		tr.waitCompleted(answersPerPhase)
+		engines[0].SetSlow(engineTimeFactor)
 		for _, i := range d.platform.List.Truth() {
 			if i.ID != engines[1].ID() {
 				continue
@@ -309,32 +310,32 @@
 			d.platform.List.Put(i)
 		}
 		time.Sleep(LeavingGrace)
-		tr.completed(2 * some)
+		tr.waitCompleted(2 * answersPerPhase)
 	})
 }
 
-// TestWholeStreamsBroken cuts, drops, repeats, delays and reorders pieces of
-// streams and mixes pieces of other attempts in.
-func TestWholeStreamsBroken(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+// TestWholeStreamsCorrupted interrupts streams, drops, repeats, delays and reorders their
+// events, and mixes in events of other attempts.
+func TestWholeStreamsCorrupted(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		for i, e := range d.engines() {
-			e.SetPieces((&breaker{rng: rand.New(rand.NewPCG(11, uint64(i)))}).piece)
+			e.SetPieces((&streamCorrupter{rng: rand.New(rand.NewPCG(11, uint64(i)))}).corrupt)
 		}
-		tr.completed(3 * some)
+		tr.waitCompleted(3 * answersPerPhase)
 		for _, e := range d.engines() {
 			e.SetPieces(nil)
 		}
 	})
 }
 
-// breaker breaks about one piece in thirty of one engine's streams.
-type breaker struct {
+// streamCorrupter corrupts about one in thirty events of one engine's streams.
+type streamCorrupter struct {
 	mu   sync.Mutex
 	rng  *rand.Rand
-	last infra.Event // of any stream
+	last infra.Event // the last event of any stream
 }
 
-func (b *breaker) piece(e infra.Event) standin.Pieces {
+func (b *streamCorrupter) corrupt(e infra.Event) standin.Pieces {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	last := b.last
@@ -358,10 +359,10 @@
 	return standin.Keep(e)
 }
 
-// TestWholePoison has one caller send a request that crashes each server which
-// runs it, again and again through each instance.
-func TestWholePoison(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
+// TestWholePoisonRequest repeatedly sends a request that crashes each server that runs it, through
+// all instances in turn.
+func TestWholePoisonRequest(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		transport := d.transport(placeCallers)
 		for i := range 12 {
 			n := d.nodes[i%len(d.nodes)]
@@ -380,21 +381,21 @@
 				}
 			}
 		}
-		t.Logf("12 sendings of a poisoned request crashed %d servers", crashes)
+		t.Logf("12 submissions of a request that crashes servers crashed %d", crashes)
 		require.LessOrEqual(t, crashes, maxPoisonCrashes)
 		require.NotZero(t, crashes)
 	})
 }
 
-// maxPoisonCrashes allows the two crashes that a quarantine needs, and two more
-// of a sending that was already under way when it took effect.
+// maxPoisonCrashes allows the two crashes that cause a quarantine, and two more by a
+// submission that was already in flight when the quarantine took effect.
 const maxPoisonCrashes = 4
 
-// TestWholePartnersEditAtOnce has both partners' operators edit at once, each
-// their own files and, by mistake, each other's.
-func TestWholePartnersEditAtOnce(t *testing.T) {
-	underTraffic(t, func(d *deployment, tr *traffic) {
-		view := d.inForce()
+// TestWholeConcurrentConfigEdits has both partners' operators edit their own files and, by
+// mistake, each other's files at the same time.
+func TestWholeConcurrentConfigEdits(t *testing.T) {
+	runUnderTraffic(t, func(d *deployment, tr *traffic) {
+		view := d.activeConfig()
 		var group sync.WaitGroup
 		for _, partner := range []string{quickstart.FlightKitchen, quickstart.Instituto} {
 			group.Go(func() {
@@ -404,7 +405,7 @@
 						Partner: partner,
 						Author:  partner + "-operator",
 						Content: fmt.Appendf(nil, "[partners.%s]\nweight = %d.0\n", partner, i+1),
-						Base:    uint64(d.inForce().Base(fmt.Sprintf("90-%s-limits.toml", partner))),
+						Base:    uint64(d.activeConfig().Base(fmt.Sprintf("90-%s-limits.toml", partner))),
 					}, i)
 					file := view.Files[i%len(view.Files)]
 					d.propose(&record.ConfigChange{File: file.Name, Partner: partner, Author: partner + "-racer", Content: []byte("[models"), Base: uint64(file.Offset)}, i)
@@ -412,12 +413,12 @@
 			})
 		}
 		group.Wait()
-		until(t, "a verdict on each change", func() bool { return len(d.inForce().Pending) == 0 })
-		time.Sleep(ConfigLimit + time.Second) // so that each instance is asked after the limit
+		waitUntil(t, "a verdict on each change", func() bool { return len(d.activeConfig().Pending) == 0 })
+		time.Sleep(ConfigPropagationLimit + time.Second) // so that each instance is queried after the limit
 		for _, f := range view.Files {
-			now := d.inForce().Base(f.Name)
+			now := d.activeConfig().Base(f.Name)
 			require.Equal(t, f.Offset, now, "a broken edit of %s took effect", f.Name)
 		}
-		require.NotEqual(t, view.Changed, d.inForce().Changed, "no edit was accepted")
+		require.NotEqual(t, view.Changed, d.activeConfig().Changed, "no edit was accepted")
 	})
 }
--- a/whole/history.go
+++ b/whole/history.go
@@ -1,6 +1,7 @@
-// Package whole checks the whole system: it keeps what each caller was told
-// and compares that with the truth that the stand-ins for the platform and the
-// backend servers keep, against each line of what must always hold.
+// Package whole checks invariants of the whole system in integration tests. A History
+// records the answer that each caller received. Check compares it with a GroundTruth, which
+// holds what the stand-ins (simulated platform services and backend servers) recorded, and
+// returns the violations of each Rule.
 package whole
 
 import (
@@ -12,75 +13,73 @@
 	"greengageferry/load"
 )
 
-// Told is what a caller was told of one sending of a request.
-type Told struct {
+// CallerView is a caller's view of one submission of a request.
+type CallerView struct {
 	Request  load.Request
-	Service  load.ServiceRequest // in place of Request where its Service is set
+	Service  load.ServiceRequest // used instead of Request if its Service is set
 	Answer   load.Answer
-	Instance string // the entry instance that it was sent to
+	Instance string // the entry instance that the request was sent to
 	Sent     time.Time
 	Ended    time.Time
 }
 
-// content returns what the request is known by: its prompt or body, which no
-// other request has.
-func (t Told) content() string {
+// identity returns the prompt or body of the request, which is unique to the request.
+func (t CallerView) identity() string {
 	if t.Service.Service != "" {
 		return t.Service.Body
 	}
 	return t.Request.Prompt
 }
 
-// key returns the request's idempotency key; empty: none.
-func (t Told) key() string {
+// idempotencyKey returns the request's idempotency key, or "" if it has none.
+func (t CallerView) idempotencyKey() string {
 	if t.Service.Service != "" {
 		return t.Service.IdempotencyKey
 	}
 	return t.Request.IdempotencyKey
 }
 
-// nonIdempotent says whether it may run at most once: a POST to a service
-// always.
-func (t Told) nonIdempotent() bool {
+// nonIdempotent reports whether the request may run at most once, as any call to a plain
+// service may, because the calls are POSTs.
+func (t CallerView) nonIdempotent() bool {
 	return t.Service.Service != "" || t.Request.NonIdempotent
 }
 
-// History is what callers were told, in the order of the ends of their
-// requests. It is safe for concurrent use.
+// History records the callers' views, in the order in which their requests ended. It is safe
+// for concurrent use.
 type History struct {
-	mu   sync.Mutex
-	told []Told
+	mu      sync.Mutex
+	entries []CallerView
 }
 
 // Add adds an entry.
-func (h *History) Add(t Told) {
+func (h *History) Add(t CallerView) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.told = append(h.told, t)
+	h.entries = append(h.entries, t)
 }
 
-// Told returns the entries.
-func (h *History) Told() []Told {
+// CallerView returns a copy of all entries.
+func (h *History) CallerView() []CallerView {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.told)
+	return slices.Clone(h.entries)
 }
 
-// Send sends a request through an entry instance, and adds what its caller was
-// told. Each request needs a prompt of its own; the resends of one with an
-// idempotency key share theirs.
+// Send sends a request through an entry instance and adds the caller's view of it. The
+// prompt must be unique to the request; resends with the same idempotency key share it.
 func (h *History) Send(ctx context.Context, instance string, client *load.Client, r load.Request) load.Answer {
 	sent := time.Now()
 	answer := client.Send(ctx, r, sent)
-	h.Add(Told{Request: r, Answer: answer, Instance: instance, Sent: sent, Ended: time.Now()})
+	h.Add(CallerView{Request: r, Answer: answer, Instance: instance, Sent: sent, Ended: time.Now()})
 	return answer
 }
 
-// SendService sends a call to a plain service, as Send does a request. Each
-// needs a body of its own.
+// SendService sends a call to a plain service, as Send sends a request. The body must be
+// unique to the call; resends with the same idempotency key share it.
 func (h *History) SendService(ctx context.Context, instance string, client *load.Client, r load.ServiceRequest) load.Answer {
 	sent := time.Now()
 	answer := client.SendService(ctx, r, sent)
-	h.Add(Told{Service: r, Answer: answer, Instance: instance, Sent: sent, Ended: time.Now()})
+	h.Add(CallerView{Service: r, Answer: answer, Instance: instance, Sent: sent, Ended: time.Now()})
 	return answer
 }
--- a/whole/rules.go
+++ b/whole/rules.go
@@ -11,85 +11,85 @@
 	"greengageferry/standin"
 )
 
-// Rule names one line of what must always hold.
+// Rule names an invariant of the system.
 type Rule string
 
-// The rules, in the order of the users' list.
+// The rules. Except for the last one they are requirements on the product.
 const (
-	RuleMemory       Rule = "accelerator memory is never overcommitted"
-	RuleReachable    Rule = "every declared model remains reachable"
-	RuleWholeAnswer  Rule = "every caller receives the whole answer to its own request"
-	RuleNotRun       Rule = "what was told as not run did not run"
-	RuleAtMostOnce   Rule = "a non-idempotent request runs at most once"
-	RuleLeaving      Rule = "a leaving backend server receives no new work"
-	RuleShutdown     Rule = "a graceful shutdown cuts off no request in flight"
-	RuleConfigSpread Rule = "an accepted configuration is in force everywhere within seconds"
-	RuleConfigStays  Rule = "an accepted configuration never reverts"
-	RuleTruthWhole   Rule = "the stand-ins kept all of the truth"
+	RuleMemory            Rule = "accelerator memory is never overcommitted"
+	RuleReachable         Rule = "every declared model remains reachable"
+	RuleCompleteAnswer    Rule = "every caller receives the whole answer to its own request"
+	RuleNotRun            Rule = "a request reported as not run did not run"
+	RuleAtMostOnce        Rule = "a non-idempotent request runs at most once"
+	RuleLeaving           Rule = "a leaving backend server receives no new work"
+	RuleShutdown          Rule = "a graceful shutdown cuts off no request in flight"
+	RuleConfigPropagation Rule = "an accepted configuration is in force everywhere within seconds"
+	RuleConfigMonotonic   Rule = "an accepted configuration never reverts"
+	RuleRecordsComplete   Rule = "the stand-ins kept complete records"
 )
 
-// The times that the rules allow.
+// The time limits of the rules.
 const (
-	// LeavingGrace is "a few seconds" after the list says that a server leaves.
+	// LeavingGrace is how long a server may still get new work after the list shows it as
+	// leaving. The requirement says "a few seconds".
 	LeavingGrace = 5 * time.Second
-	// ConfigLimit is "within seconds" after a version's acceptance.
-	ConfigLimit = 8 * time.Second
+	// ConfigPropagationLimit is how long after its acceptance a configuration may take to be
+	// in force at every instance. The requirement says "within seconds".
+	ConfigPropagationLimit = 8 * time.Second
 )
 
-// Violation is one breach of a rule.
+// Violation is one violation of a rule.
 type Violation struct {
 	Detail string
 }
 
-// Result is what the check of one rule found.
+// Result is the result of the check of one rule.
 type Result struct {
 	Rule       Rule
-	Events     int // how many it looked at
+	Events     int // number of events checked
 	Violations []Violation
 }
 
-func (r *Result) violated(format string, args ...any) {
+func (r *Result) addViolation(format string, args ...any) {
 	r.Violations = append(r.Violations, Violation{Detail: fmt.Sprintf(format, args...)})
 }
 
-// Check compares the history with the truth against each rule.
-func Check(history []Told, truth Truth) []Result {
+// Check checks the history and the truth against each rule.
+func Check(history []CallerView, truth GroundTruth) []Result {
 	return []Result{
 		checkMemory(truth),
 		checkReachable(history, truth),
-		checkWholeAnswers(history, truth),
+		checkCompleteAnswers(history, truth),
 		checkNotRun(history, truth),
 		checkAtMostOnce(history, truth),
 		checkLeaving(truth),
 		checkShutdown(history, truth),
-		checkConfigSpread(truth),
-		checkConfigStays(truth),
-		checkTruthWhole(truth),
+		checkConfigPropagation(truth),
+		checkConfigMonotonic(truth),
+		checkRecordsComplete(truth),
 	}
 }
 
-// checkMemory looks at each order that reached an engine. A load that the
-// engine itself had to refuse for lack of memory is a breach too: another
-// engine may not save the day.
-func checkMemory(truth Truth) Result {
+// checkMemory checks the peak memory of each engine. A load that the engine refused for lack
+// of memory is a violation too, because a real engine may not check this.
+func checkMemory(truth GroundTruth) Result {
 	r := Result{Rule: RuleMemory}
 	for _, e := range truth.Engines {
 		r.Events += len(e.Orders)
 		if e.PeakMiB > e.MemoryMiB {
-			r.violated("server %s held %d of %d MiB", e.ID, e.PeakMiB, e.MemoryMiB)
+			r.addViolation("server %s held %d of %d MiB", e.ID, e.PeakMiB, e.MemoryMiB)
 		}
 		for _, v := range e.Violations {
 			if v.Kind == standin.ViolationOvercommit {
-				r.violated("server %s: %s", e.ID, v.Detail)
+				r.addViolation("server %s: %s", e.ID, v.Detail)
 			}
 		}
 	}
 	return r
 }
 
-// checkReachable wants a complete answer of each declared model that callers
-// asked for at all, and that each was asked for.
-func checkReachable(history []Told, truth Truth) Result {
+// checkReachable requires that each declared model gave a complete answer at least once.
+func checkReachable(history []CallerView, truth GroundTruth) Result {
 	r := Result{Rule: RuleReachable}
 	complete := map[string]bool{}
 	for _, t := range history {
@@ -100,44 +100,44 @@
 	for _, m := range truth.Models {
 		r.Events++
 		if !complete[m.Name] {
-			r.violated("model %s of %s gave no answer", m.Name, m.Partner)
+			r.addViolation("model %s of %s gave no answer", m.Name, m.Partner)
 		}
 	}
 	return r
 }
 
-// checkWholeAnswers wants each answer that was told as complete to be, token by
-// token, the one answer to its request. An engine that was given a prefix which
-// isn't of the answer to go on with is a breach too.
-func checkWholeAnswers(history []Told, truth Truth) Result {
-	r := Result{Rule: RuleWholeAnswer}
+// checkCompleteAnswers requires that each answer reported as complete equals, token by
+// token, the only right answer to its request. A wrong prefix sent to an engine, or an
+// attempt id used for two requests, is a violation too.
+func checkCompleteAnswers(history []CallerView, truth GroundTruth) Result {
+	r := Result{Rule: RuleCompleteAnswer}
 	runs := truth.runs()
 	for _, t := range history {
 		if t.Answer.Outcome != load.OutcomeComplete {
 			continue
 		}
 		r.Events++
-		if !isAnswer(t, truth, runs[standin.PromptHash(t.content())]) {
-			r.violated("%s was told something else as its answer", describe(t))
+		if !isExpectedAnswer(t, truth, runs[standin.PromptHash(t.identity())]) {
+			r.addViolation("%s received a wrong answer", describe(t))
 		}
 	}
 	for _, e := range truth.Engines {
 		for _, v := range e.Violations {
 			if v.Kind == standin.ViolationPrefix || v.Kind == standin.ViolationAttempt {
-				r.violated("server %s: %s: %s", e.ID, v.Kind, v.Detail)
+				r.addViolation("server %s: %s: %s", e.ID, v.Kind, v.Detail)
 			}
 		}
 	}
 	return r
 }
 
-// isAnswer says whether a text is the answer of one of the request's runs. The
-// request's seed is its own, or the one that the system chose for its runs.
-func isAnswer(t Told, truth Truth, runs []run) bool {
+// isExpectedAnswer reports whether the caller's answer is the one that a run of the request
+// produces. A run's seed is the request's, or chosen by the system if the request has none.
+func isExpectedAnswer(t CallerView, truth GroundTruth, runs []run) bool {
 	if t.Service.Service != "" {
-		return len(runs) > 0 && isEcho(t)
+		return len(runs) > 0 && isExpectedEcho(t)
 	}
-	m, ok := truth.model(t.Request.Model)
+	m, ok := truth.findModel(t.Request.Model)
 	if !ok {
 		return false
 	}
@@ -153,8 +153,8 @@
 	return false
 }
 
-// isEcho says whether a text is what a plain service answers to its call.
-func isEcho(t Told) bool {
+// isExpectedEcho reports whether the caller's answer is the plain service's echo of the call.
+func isExpectedEcho(t CallerView) bool {
 	var echo standin.ServiceEcho
 	if json.Unmarshal([]byte(t.Answer.Text), &echo) != nil {
 		return false
@@ -163,43 +163,44 @@
 	return echo == want
 }
 
-// request names a request: its key, or else its content.
-func request(t Told) string {
-	if t.key() != "" {
-		return "key " + t.key()
+// requestKey returns a string that identifies a request: its idempotency key, or else its
+// prompt or body.
+func requestKey(t CallerView) string {
+	if t.idempotencyKey() != "" {
+		return "key " + t.idempotencyKey()
 	}
-	return "content " + t.content()
+	return "content " + t.identity()
 }
 
-// byRequest groups a history by request: one with a key may have been sent
-// several times.
-func byRequest(history []Told) map[string][]Told {
-	groups := map[string][]Told{}
+// groupByRequest groups a history by request. A request with an idempotency key may have
+// been submitted several times.
+func groupByRequest(history []CallerView) map[string][]CallerView {
+	groups := map[string][]CallerView{}
 	for _, t := range history {
-		groups[request(t)] = append(groups[request(t)], t)
+		groups[requestKey(t)] = append(groups[requestKey(t)], t)
 	}
 	return groups
 }
 
-// checkNotRun wants that a request of which each sending was told as not run
-// has no run. Where one sending of several was told otherwise, a run is that
-// one's.
-func checkNotRun(history []Told, truth Truth) Result {
+// checkNotRun requires that a request has no run if every submission of the request was
+// reported as not run. If any submission was reported otherwise, a run may belong to that
+// one.
+func checkNotRun(history []CallerView, truth GroundTruth) Result {
 	r := Result{Rule: RuleNotRun}
 	runs := truth.runs()
-	for _, group := range byRequest(history) {
+	for _, group := range groupByRequest(history) {
 		if !allNotRun(group) {
 			continue
 		}
 		r.Events += len(group)
-		for _, run := range runs[standin.PromptHash(group[0].content())] {
-			r.violated("%s was told not run, and ran at %s as attempt %s", describe(group[0]), run.server, run.attempt)
+		for _, run := range runs[standin.PromptHash(group[0].identity())] {
+			r.addViolation("%s was reported as not run, but ran on %s as attempt %s", describe(group[0]), run.server, run.attempt)
 		}
 	}
 	return r
 }
 
-func allNotRun(group []Told) bool {
+func allNotRun(group []CallerView) bool {
 	for _, t := range group {
 		if t.Answer.Outcome != load.OutcomeNotRun {
 			return false
@@ -208,25 +209,25 @@
 	return true
 }
 
-// checkAtMostOnce counts the runs of each non-idempotent request over all
-// servers. One that was accepted by a server counts, whether or not it began.
-func checkAtMostOnce(history []Told, truth Truth) Result {
+// checkAtMostOnce counts the runs of each non-idempotent request on all servers. A run that
+// a server accepted counts even if it never started.
+func checkAtMostOnce(history []CallerView, truth GroundTruth) Result {
 	r := Result{Rule: RuleAtMostOnce}
 	runs := truth.runs()
-	for _, group := range byRequest(history) {
+	for _, group := range groupByRequest(history) {
 		if !group[0].nonIdempotent() {
 			continue
 		}
 		r.Events++
-		if n := len(runs[standin.PromptHash(group[0].content())]); n > 1 {
-			r.violated("%s ran %d times", describe(group[0]), n)
+		if n := len(runs[standin.PromptHash(group[0].identity())]); n > 1 {
+			r.addViolation("%s ran %d times", describe(group[0]), n)
 		}
 	}
 	return r
 }
 
-// checkLeaving looks at each run that a leaving server accepted.
-func checkLeaving(truth Truth) Result {
+// checkLeaving requires that a leaving server accepts no run after LeavingGrace.
+func checkLeaving(truth GroundTruth) Result {
 	r := Result{Rule: RuleLeaving}
 	for _, e := range truth.Engines {
 		since, leaving := truth.Leaving[e.ID]
@@ -236,17 +237,16 @@
 		r.Events++
 		for _, run := range e.Runs {
 			if late := run.Accepted.Sub(since); late > LeavingGrace {
-				r.violated("server %s accepted attempt %s %v after it was listed as leaving", e.ID, run.Attempt, late)
+				r.addViolation("server %s accepted attempt %s %v after it was listed as leaving", e.ID, run.Attempt, late)
 			}
 		}
 	}
 	return r
 }
 
-// checkShutdown looks at each request that was in flight when its entry
-// instance began to shut down: it must end with an answer of that instance that
-// isn't cut.
-func checkShutdown(history []Told, truth Truth) Result {
+// checkShutdown requires a complete answer to each request that was in flight when its entry
+// instance began to shut down.
+func checkShutdown(history []CallerView, truth GroundTruth) Result {
 	r := Result{Rule: RuleShutdown}
 	for _, t := range history {
 		began, shut := truth.Shutdowns[t.Instance]
@@ -255,63 +255,63 @@
 		}
 		r.Events++
 		if t.Answer.Outcome != load.OutcomeComplete {
-			r.violated("%s was in flight and was told %s (%s)", describe(t), t.Answer.Outcome, t.Answer.Code)
+			r.addViolation("%s was in flight and ended with outcome %s (%s)", describe(t), t.Answer.Outcome, t.Answer.Code)
 		}
 	}
 	return r
 }
 
-// checkConfigSpread wants each version, or a later one, at each instance that
-// was asked later than the limit after its acceptance.
-func checkConfigSpread(truth Truth) Result {
-	r := Result{Rule: RuleConfigSpread}
-	for _, accepted := range truth.Accepted {
-		for _, seen := range truth.Seen {
-			if seen.At.Sub(accepted.At) <= ConfigLimit {
+// checkConfigPropagation requires that each instance has a version or a later one in force
+// when it is queried more than ConfigPropagationLimit after the version's acceptance.
+func checkConfigPropagation(truth GroundTruth) Result {
+	r := Result{Rule: RuleConfigPropagation}
+	for _, accepted := range truth.AcceptedConfig {
+		for _, seen := range truth.ObservedConfig {
+			if seen.At.Sub(accepted.At) <= ConfigPropagationLimit {
 				continue
 			}
 			r.Events++
 			if seen.Offset < accepted.Offset {
-				r.violated("instance %s had version %d in force %v after %d was accepted", seen.Instance, seen.Offset, seen.At.Sub(accepted.At), accepted.Offset)
+				r.addViolation("instance %s had version %d in force %v after %d was accepted", seen.Instance, seen.Offset, seen.At.Sub(accepted.At), accepted.Offset)
 			}
 		}
 	}
 	return r
 }
 
-// checkConfigStays wants that no instance ever goes back. The observations of
-// one instance are in their order.
-func checkConfigStays(truth Truth) Result {
-	r := Result{Rule: RuleConfigStays}
+// checkConfigMonotonic requires that no instance goes back to an earlier version. The
+// observations of an instance are in chronological order.
+func checkConfigMonotonic(truth GroundTruth) Result {
+	r := Result{Rule: RuleConfigMonotonic}
 	newest := map[string]uint64{}
-	for _, seen := range truth.Seen {
+	for _, seen := range truth.ObservedConfig {
 		r.Events++
 		if seen.Offset < newest[seen.Instance] {
-			r.violated("instance %s went back from version %d to %d", seen.Instance, newest[seen.Instance], seen.Offset)
+			r.addViolation("instance %s went back from version %d to %d", seen.Instance, newest[seen.Instance], seen.Offset)
 		}
 		newest[seen.Instance] = max(newest[seen.Instance], seen.Offset)
 	}
 	return r
 }
 
-// checkTruthWhole wants that no stand-in dropped entries of its truth, since
-// then the other rules prove nothing.
-func checkTruthWhole(truth Truth) Result {
-	r := Result{Rule: RuleTruthWhole}
+// checkRecordsComplete requires that no stand-in dropped entries of its records; otherwise the
+// other checks prove nothing.
+func checkRecordsComplete(truth GroundTruth) Result {
+	r := Result{Rule: RuleRecordsComplete}
 	for _, e := range truth.Engines {
 		r.Events += len(e.Runs) + len(e.Orders)
 		if e.Dropped > 0 {
-			r.violated("server %s dropped %d entries", e.ID, e.Dropped)
+			r.addViolation("server %s dropped %d entries", e.ID, e.Dropped)
 		}
 	}
 	return r
 }
 
-// describe names a sending of a request, without its prompt.
-func describe(t Told) string {
-	name := fmt.Sprintf("request %x", standin.PromptHash(t.content()))
-	if t.key() != "" {
-		name += " with key " + t.key()
+// describe returns a description of a submission for messages, without the prompt.
+func describe(t CallerView) string {
+	name := fmt.Sprintf("request %x", standin.PromptHash(t.identity()))
+	if t.idempotencyKey() != "" {
+		name += " with key " + t.idempotencyKey()
 	}
 	return fmt.Sprintf("%s sent to %s", name, t.Instance)
 }
--- a/whole/rules_test.go
+++ b/whole/rules_test.go
@@ -16,11 +16,12 @@
 	models = []Model{{Name: "tray-planner", Model: "tray-planner", Partner: "flight-kitchen"}}
 )
 
-// told is one entry that is right: request n was sent to entry-1 and completed.
-func told(n uint64, prompt string) Told {
+// completedView returns a valid entry: the request with seed n was sent to entry-1 and
+// completed.
+func completedView(n uint64, prompt string) CallerView {
 	r := load.Request{Model: "tray-planner", Prompt: prompt, MaxTokens: 50, Seed: n}
 	text := standin.AnswerTo(infra.GenerateRequest{Model: r.Model, Prompt: prompt, Seed: n}).Text(50)
-	return Told{
+	return CallerView{
 		Request:  r,
 		Answer:   load.Answer{Outcome: load.OutcomeComplete, Text: text},
 		Instance: "entry-1",
@@ -29,98 +30,102 @@
 	}
 }
 
-func runOf(t Told) standin.Run {
+func engineRun(t CallerView) standin.Run {
 	return standin.Run{Attempt: "a", Prompt: standin.PromptHash(t.Request.Prompt), Seed: t.Request.Seed, Accepted: t.Sent, Started: t.Sent, End: standin.EndComplete}
 }
 
-// world is a history and a truth in which each rule holds, with at least one
-// event for each.
-func world() ([]Told, Truth) {
-	plain, once, refused := told(1, "plain"), told(2, "once"), told(3, "refused")
+// validHistory returns a history and a truth that satisfy each rule, with at least one event
+// for each rule.
+func validHistory() ([]CallerView, GroundTruth) {
+	plain, once, refused := completedView(1, "plain"), completedView(2, "once"), completedView(3, "refused")
 	once.Request.NonIdempotent, once.Request.IdempotencyKey = true, "k"
 	resent := once
 	resent.Instance = "entry-2"
 	refused.Answer = load.Answer{Outcome: load.OutcomeNotRun, Code: "queue_full"}
-	call := Told{
+	call := CallerView{
 		Service:  load.ServiceRequest{Service: "order-desk", Path: "/orders", Body: "two trays"},
 		Answer:   load.Answer{Outcome: load.OutcomeComplete, Text: `{"service":"order-desk","method":"POST","path":"/orders","body":"two trays"}`},
 		Instance: "entry-1",
 		Sent:     start,
 		Ended:    start,
 	}
-	truth := Truth{
+	truth := GroundTruth{
 		Models:   models,
 		Services: map[string][]standin.ServiceRun{"d1": {{Attempt: "c", Body: standin.PromptHash("two trays")}}},
 		Engines: []standin.EngineTruth{
-			{ID: "s1", MemoryMiB: 100, PeakMiB: 100, Runs: []standin.Run{runOf(plain), runOf(once)}, Orders: []standin.OrderTaken{{}}},
+			{ID: "s1", MemoryMiB: 100, PeakMiB: 100, Runs: []standin.Run{engineRun(plain), engineRun(once)}, Orders: []standin.OrderTaken{{}}},
 			{ID: "s2", MemoryMiB: 100, PeakMiB: 50},
 		},
-		Leaving:   map[string]time.Time{"s1": start.Add(-LeavingGrace)},
-		Shutdowns: map[string]time.Time{"entry-1": start},
-		Accepted:  []Accepted{{Offset: 5, At: start}},
-		Seen:      []Seen{{"entry-1", 4, start}, {"entry-1", 5, start.Add(ConfigLimit + 1)}},
+		Leaving:        map[string]time.Time{"s1": start.Add(-LeavingGrace)},
+		Shutdowns:      map[string]time.Time{"entry-1": start},
+		AcceptedConfig: []AcceptedConfig{{Offset: 5, At: start}},
+		ObservedConfig: []ObservedConfig{{"entry-1", 4, start}, {"entry-1", 5, start.Add(ConfigPropagationLimit + 1)}},
 	}
-	return []Told{plain, once, resent, refused, call}, truth
+	return []CallerView{plain, once, resent, refused, call}, truth
 }
 
-// TestEachRuleBites breaks each rule on purpose, and wants exactly its check to
-// find it.
-func TestEachRuleBites(t *testing.T) {
+// TestEachRuleDetectsItsViolation violates one rule at a time and requires that exactly the
+// check of that rule reports it.
+func TestEachRuleDetectsItsViolation(t *testing.T) {
 	for name, c := range map[string]struct {
 		rule  Rule
-		spoil func(history []Told, truth *Truth)
+		spoil func(history []CallerView, truth *GroundTruth)
 	}{
-		"memory over its size": {RuleMemory, func(_ []Told, truth *Truth) { truth.Engines[1].PeakMiB = 101 }},
-		"load that didn't fit": {RuleMemory, func(_ []Told, truth *Truth) {
+		"memory over its size": {RuleMemory, func(_ []CallerView, truth *GroundTruth) { truth.Engines[1].PeakMiB = 101 }},
+		"load that didn't fit": {RuleMemory, func(_ []CallerView, truth *GroundTruth) {
 			truth.Engines[1].Violations = []standin.Violation{{Kind: standin.ViolationOvercommit}}
 		}},
-		"model without an answer": {RuleReachable, func(_ []Told, truth *Truth) {
+		"model without an answer": {RuleReachable, func(_ []CallerView, truth *GroundTruth) {
 			truth.Models = append(truth.Models, Model{Name: "campo-notes"})
 		}},
-		"short answer": {RuleWholeAnswer, func(h []Told, _ *Truth) { h[0].Answer.Text = h[0].Answer.Text[:20] }},
-		"token twice":  {RuleWholeAnswer, func(h []Told, _ *Truth) { h[0].Answer.Text = "x " + h[0].Answer.Text }},
-		"another's answer": {RuleWholeAnswer, func(h []Told, _ *Truth) {
+		"short answer": {RuleCompleteAnswer, func(h []CallerView, _ *GroundTruth) { h[0].Answer.Text = h[0].Answer.Text[:20] }},
+		"token twice":  {RuleCompleteAnswer, func(h []CallerView, _ *GroundTruth) { h[0].Answer.Text = "x " + h[0].Answer.Text }},
+		"another's answer": {RuleCompleteAnswer, func(h []CallerView, _ *GroundTruth) {
 			h[0].Answer.Text = h[1].Answer.Text
 		}},
-		"answer without a run": {RuleWholeAnswer, func(_ []Told, truth *Truth) { truth.Engines[0].Runs = truth.Engines[0].Runs[1:] }},
-		"wrong prefix": {RuleWholeAnswer, func(_ []Told, truth *Truth) {
+		"answer without a run": {RuleCompleteAnswer, func(_ []CallerView, truth *GroundTruth) { truth.Engines[0].Runs = truth.Engines[0].Runs[1:] }},
+		"wrong prefix": {RuleCompleteAnswer, func(_ []CallerView, truth *GroundTruth) {
 			truth.Engines[1].Violations = []standin.Violation{{Kind: standin.ViolationPrefix}}
 		}},
-		"not run, and ran": {RuleNotRun, func(h []Told, truth *Truth) {
-			truth.Engines[1].Runs = []standin.Run{runOf(h[3])}
+		"not run, and ran": {RuleNotRun, func(h []CallerView, truth *GroundTruth) {
+			truth.Engines[1].Runs = []standin.Run{engineRun(h[3])}
 		}},
-		"all of a key not run, and ran": {RuleNotRun, func(h []Told, _ *Truth) {
+		"all of a key not run, and ran": {RuleNotRun, func(h []CallerView, _ *GroundTruth) {
 			h[1].Answer, h[2].Answer = h[3].Answer, h[3].Answer
 			h[1].Instance = "entry-2" // isn't shut down
 		}},
-		"run twice at two servers": {RuleAtMostOnce, func(h []Told, truth *Truth) {
-			truth.Engines[1].Runs = []standin.Run{runOf(h[1])}
+		"run twice at two servers": {RuleAtMostOnce, func(h []CallerView, truth *GroundTruth) {
+			truth.Engines[1].Runs = []standin.Run{engineRun(h[1])}
 		}},
-		"run twice, of which one never began": {RuleAtMostOnce, func(h []Told, truth *Truth) {
-			run := runOf(h[1])
+		"run twice, of which one never began": {RuleAtMostOnce, func(h []CallerView, truth *GroundTruth) {
+			run := engineRun(h[1])
 			run.Started = time.Time{}
 			truth.Engines[0].Runs = append(truth.Engines[0].Runs, run)
 		}},
-		"service called twice": {RuleAtMostOnce, func(_ []Told, truth *Truth) { truth.Services["d2"] = truth.Services["d1"] }},
-		"service's call not run, and ran": {RuleNotRun, func(h []Told, _ *Truth) {
+		"service called twice": {RuleAtMostOnce, func(_ []CallerView, truth *GroundTruth) { truth.Services["d2"] = truth.Services["d1"] }},
+		"service's call not run, and ran": {RuleNotRun, func(h []CallerView, _ *GroundTruth) {
 			h[4].Answer, h[4].Instance = h[3].Answer, "entry-2"
 		}},
-		"another's service answer": {RuleWholeAnswer, func(h []Told, _ *Truth) {
+		"another's service answer": {RuleCompleteAnswer, func(h []CallerView, _ *GroundTruth) {
 			h[4].Answer.Text = `{"service":"order-desk","method":"POST","path":"/orders","body":"one tray"}`
 		}},
-		"work for a leaving server": {RuleLeaving, func(_ []Told, truth *Truth) {
+		"work for a leaving server": {RuleLeaving, func(_ []CallerView, truth *GroundTruth) {
 			truth.Leaving["s1"] = start.Add(-LeavingGrace - 1)
 		}},
-		"cut by a shutdown": {RuleShutdown, func(h []Told, _ *Truth) { h[0].Answer = load.Answer{Outcome: load.OutcomeOther, Code: "cut"} }},
-		"unknown by a shutdown": {RuleShutdown, func(h []Told, _ *Truth) {
+		"cut by a shutdown": {RuleShutdown, func(h []CallerView, _ *GroundTruth) {
+			h[0].Answer = load.Answer{Outcome: load.OutcomeOther, Code: "cut"}
+		}},
+		"unknown by a shutdown": {RuleShutdown, func(h []CallerView, _ *GroundTruth) {
 			h[0].Answer = load.Answer{Outcome: load.OutcomeUnknown}
 		}},
-		"configuration late":       {RuleConfigSpread, func(_ []Told, truth *Truth) { truth.Seen[1].Offset = 4 }},
-		"configuration went back":  {RuleConfigStays, func(_ []Told, truth *Truth) { truth.Seen = append(truth.Seen, Seen{"entry-1", 4, start}) }},
-		"truth that was cut short": {RuleTruthWhole, func(_ []Told, truth *Truth) { truth.Engines[0].Dropped = 1 }},
+		"configuration late": {RuleConfigPropagation, func(_ []CallerView, truth *GroundTruth) { truth.ObservedConfig[1].Offset = 4 }},
+		"configuration went back": {RuleConfigMonotonic, func(_ []CallerView, truth *GroundTruth) {
+			truth.ObservedConfig = append(truth.ObservedConfig, ObservedConfig{"entry-1", 4, start})
+		}},
+		"truth that was cut short": {RuleRecordsComplete, func(_ []CallerView, truth *GroundTruth) { truth.Engines[0].Dropped = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			history, truth := world()
+			history, truth := validHistory()
 			history[3].Instance = "entry-3" // isn't shut down
 			for _, r := range Check(history, truth) {
 				require.Empty(t, r.Violations, r.Rule)
@@ -138,9 +143,10 @@
 	}
 }
 
-// TestOneSendingOfAKeyMayBeNotRun has a resend refused while the first runs.
-func TestOneSendingOfAKeyMayBeNotRun(t *testing.T) {
-	history, truth := world()
+// TestOneResendOfAKeyMayBeNotRun covers a resend that is refused while the first submission
+// runs.
+func TestOneResendOfAKeyMayBeNotRun(t *testing.T) {
+	history, truth := validHistory()
 	history[3].Instance = "entry-3"
 	history[2].Answer = load.Answer{Outcome: load.OutcomeNotRun}
 	for _, r := range Check(history, truth) {
--- a/whole/traffic_test.go
+++ b/whole/traffic_test.go
@@ -15,35 +15,35 @@
 	"greengageferry/quickstart"
 )
 
-// Of a caller's requests, in parts of ten.
+// The mix of a caller's requests, in tenths.
 const (
-	partWhole     = 2 // idempotent, answered whole
-	partStreamed  = 4 // idempotent, streamed
-	partKeyed     = 2 // non-idempotent with a key, resent through other instances
-	partUnkeyed   = 1 // non-idempotent without a key: sent once
-	partOfService = 1 // a call to a plain service that runs at most once
+	partWhole    = 2 // idempotent, not streamed
+	partStreamed = 4 // idempotent, streamed
+	partKeyed    = 2 // non-idempotent with a key, resent through other instances
+	partUnkeyed  = 1 // non-idempotent without a key: sent once
+	partService  = 1 // a call to a plain service, which runs at most once
 )
 
-// mostSendings bounds how often a caller sends a keyed request.
-const mostSendings = 4
+// maxSubmissions bounds how often a caller submits a request with an idempotency key.
+const maxSubmissions = 4
 
-// claimTimeout is the deadline of a request that has to be claimed: while the
-// log is out it may wait as long for its claim, and the callers with it.
+// claimTimeout is the timeout of a request that needs a claim. It is short, because the
+// request, and with it the caller, may wait this long for the claim while the log is down.
 const claimTimeout = 2 * time.Second
 
-// resendPause is how long a caller waits before it sends again.
-const resendPause = 200 * time.Millisecond
+// resendDelay is how long a caller waits before it resends a request.
+const resendDelay = 200 * time.Millisecond
 
-// traffic is callers that send requests until stopped.
+// traffic is a group of callers that send requests until they are stopped.
 type traffic struct {
-	d       *deployment
-	ctx     context.Context
-	cancel  context.CancelFunc
-	callers sync.WaitGroup
-	watcher sync.WaitGroup
+	d             *deployment
+	ctx           context.Context
+	cancel        context.CancelFunc
+	callers       sync.WaitGroup
+	configWatcher sync.WaitGroup
 }
 
-// startTraffic starts callers, and the watch of the configuration.
+// startTraffic starts the callers and watchConfig.
 func (d *deployment) startTraffic(callers int) *traffic {
 	ctx, cancel := context.WithCancel(context.Background())
 	tr := &traffic{d: d, ctx: ctx, cancel: cancel}
@@ -52,26 +52,26 @@
 		rng := rand.New(rand.NewPCG(7, uint64(i)))
 		tr.callers.Go(func() {
 			for tr.ctx.Err() == nil {
-				tr.one(rng, transport)
+				tr.sendNext(rng, transport)
 			}
 		})
 	}
-	tr.watcher.Go(func() { d.watchConfig(ctx) })
+	tr.configWatcher.Go(func() { d.watchConfig(ctx) })
 	return tr
 }
 
-// stop ends the callers once their requests in flight have ended.
+// stop stops the callers and waits until their requests in flight have ended.
 func (tr *traffic) stop() {
 	tr.cancel()
 	tr.callers.Wait()
-	tr.watcher.Wait()
+	tr.configWatcher.Wait()
 }
 
-// one sends one request, and its resends.
-func (tr *traffic) one(rng *rand.Rand, transport *http.Transport) {
+// sendNext sends one random request and its resends.
+func (tr *traffic) sendNext(rng *rand.Rand, transport *http.Transport) {
 	m := tr.d.truth.Models[rng.IntN(len(tr.d.truth.Models))]
 	r := tr.d.newRequest(m)
-	draw := rng.IntN(partWhole + partStreamed + partKeyed + partUnkeyed + partOfService)
+	draw := rng.IntN(partWhole + partStreamed + partKeyed + partUnkeyed + partService)
 	switch {
 	case draw < partWhole:
 		tr.send(rng, transport, m, r)
@@ -91,20 +91,20 @@
 	}
 }
 
-// send sends a request through any instance. Requests in flight when the
-// traffic stops still end.
+// send sends a request through a random instance. A request in flight when the traffic stops
+// is not canceled.
 func (tr *traffic) send(rng *rand.Rand, transport *http.Transport, m Model, r load.Request) load.Answer {
-	live := tr.d.live()
-	n := live[rng.IntN(len(live))]
+	liveNodes := tr.d.liveNodes()
+	n := liveNodes[rng.IntN(len(liveNodes))]
 	a := tr.d.history.Send(context.Background(), n.id, tr.d.client(transport, n, m.Partner), r)
 	if a.Outcome != load.OutcomeComplete {
-		pause(tr.ctx, resendPause)
+		sleep(tr.ctx, resendDelay)
 	}
 	return a
 }
 
-// sendKeyed sends a keyed request through one instance and at times through a
-// second at once, and again through others until it is complete.
+// sendKeyed sends a request with an idempotency key through random instances until it is
+// complete. At random it also sends the request through a second instance at the same time.
 func (tr *traffic) sendKeyed(rng *rand.Rand, transport *http.Transport, m Model, r load.Request) {
 	var second sync.WaitGroup
 	defer second.Wait()
@@ -112,47 +112,47 @@
 		other := rand.New(rand.NewPCG(r.Seed, 1))
 		second.Go(func() { tr.send(other, transport, m, r) })
 	}
-	for range mostSendings {
+	for range maxSubmissions {
 		if tr.send(rng, transport, m, r).Outcome == load.OutcomeComplete {
 			return
 		}
 	}
 }
 
-// callService calls the partner's plain service, half of the time with a key
-// and resends.
-func (tr *traffic) callService(rng *rand.Rand, transport *http.Transport, partner string, like load.Request) {
-	r := load.ServiceRequest{Service: "order-desk", Path: "/orders", Body: "order " + like.Prompt, Timeout: like.Timeout}
+// callService calls the partner's plain service, half of the time with an idempotency key and
+// resends.
+func (tr *traffic) callService(rng *rand.Rand, transport *http.Transport, partner string, similar load.Request) {
+	r := load.ServiceRequest{Service: "order-desk", Path: "/orders", Body: "order " + similar.Prompt, Timeout: similar.Timeout}
 	if partner == quickstart.Instituto {
 		r.Service, r.Path = "campo", "/notes"
 	}
-	sendings := 1
+	submissions := 1
 	if rng.IntN(2) == 0 {
-		r.IdempotencyKey = fmt.Sprintf("service-key-%d", like.Seed)
+		r.IdempotencyKey = fmt.Sprintf("service-key-%d", similar.Seed)
 		r.Timeout = claimTimeout
-		sendings = mostSendings
+		submissions = maxSubmissions
 	}
-	for range sendings {
-		live := tr.d.live()
-		n := live[rng.IntN(len(live))]
+	for range submissions {
+		liveNodes := tr.d.liveNodes()
+		n := liveNodes[rng.IntN(len(liveNodes))]
 		if tr.d.history.SendService(context.Background(), n.id, tr.d.client(transport, n, partner), r).Outcome == load.OutcomeComplete {
 			return
 		}
-		pause(tr.ctx, resendPause)
+		sleep(tr.ctx, resendDelay)
 	}
 }
 
-// completed waits until callers have been given that many more whole answers.
-func (tr *traffic) completed(more int) {
+// waitCompleted waits until the callers have received that many more complete answers.
+func (tr *traffic) waitCompleted(more int) {
 	tr.d.t.Helper()
-	from := len(tr.d.completes())
-	until(tr.d.t, "whole answers", func() bool { return len(tr.d.completes()) >= from+more })
+	from := len(tr.d.completed())
+	waitUntil(tr.d.t, "complete answers", func() bool { return len(tr.d.completed()) >= from+more })
 }
 
-// completes returns the entries of the history that are complete.
-func (d *deployment) completes() []Told {
-	var complete []Told
-	for _, t := range d.history.Told() {
+// completed returns the entries of the history with a complete answer.
+func (d *deployment) completed() []CallerView {
+	var complete []CallerView
+	for _, t := range d.history.CallerView() {
 		if t.Answer.Outcome == load.OutcomeComplete {
 			complete = append(complete, t)
 		}
@@ -160,13 +160,12 @@
 	return complete
 }
 
-// until waits for a condition. That it takes recoverLimit is a fault, and no
-// measure of speed.
-func until(t *testing.T, what string, condition func() bool) {
+// waitUntil waits for a condition, and fails the test after recoveryTimeout.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(recoverLimit)
+	deadline := time.Now().Add(recoveryTimeout)
 	for !condition() {
-		require.True(t, time.Now().Before(deadline), "waited too long for: %s", what)
+		require.True(t, time.Now().Before(deadline), "timed out waiting for: %s", what)
 		time.Sleep(20 * time.Millisecond)
 	}
 }
--- a/whole/truth.go
+++ b/whole/truth.go
@@ -6,48 +6,49 @@
 	"greengageferry/standin"
 )
 
-// Truth is what really happened, as the stand-ins and the test know it.
-type Truth struct {
-	Engines   []standin.EngineTruth
-	Services  map[string][]standin.ServiceRun // by backend server
-	Models    []Model                         // the declared models and adapters
-	Leaving   map[string]time.Time            // by backend server: since when the platform's list says so
-	Shutdowns map[string]time.Time            // by entry instance: when its graceful shutdown began
-	Accepted  []Accepted
-	Seen      []Seen
+// GroundTruth holds what really happened, as recorded by the stand-ins and the test.
+type GroundTruth struct {
+	Engines        []standin.EngineTruth
+	Services       map[string][]standin.ServiceRun // by backend server
+	Models         []Model                         // the declared models and adapters
+	Leaving        map[string]time.Time            // by backend server: when the platform's list began to show it as leaving
+	Shutdowns      map[string]time.Time            // by entry instance: when its graceful shutdown began
+	AcceptedConfig []AcceptedConfig
+	ObservedConfig []ObservedConfig
 }
 
-// Model is a name that callers can ask for, and what it stands for at engines.
+// Model is a name that callers can request, with the model or adapter that engines serve
+// for it.
 type Model struct {
-	Name    string // as callers ask for it
+	Name    string // as in callers' requests
 	Model   string
 	Adapter string
 	Partner string
 }
 
-// Accepted is a version of the configuration that was accepted.
-type Accepted struct {
-	Offset uint64 // of its verdict
+// AcceptedConfig is a version of the configuration that was accepted.
+type AcceptedConfig struct {
+	Offset uint64 // log offset of the verdict; identifies the version
 	At     time.Time
 }
 
-// Seen is the version of the configuration that an entry instance had in force
-// when it was asked.
-type Seen struct {
+// ObservedConfig is the version of the configuration that an entry instance had in force
+// when the test queried it.
+type ObservedConfig struct {
 	Instance string
 	Offset   uint64
 	At       time.Time
 }
 
-// run is a run at one of the backend servers.
+// run is one execution of a request on a backend server.
 type run struct {
 	server  string
 	attempt string
-	seed    uint64 // of engines
+	seed    uint64 // only for runs on engines
 }
 
-// runs returns all runs, by the hash of their prompts or bodies.
-func (t *Truth) runs() map[uint64][]run {
+// runs returns all runs, by the hash of the request's prompt or body.
+func (t *GroundTruth) runs() map[uint64][]run {
 	runs := map[uint64][]run{}
 	for _, e := range t.Engines {
 		for _, r := range e.Runs {
@@ -62,8 +63,8 @@
 	return runs
 }
 
-// model returns what a name stands for at engines.
-func (t *Truth) model(name string) (Model, bool) {
+// findModel returns the declared model or adapter with the name.
+func (t *GroundTruth) findModel(name string) (Model, bool) {
 	for _, m := range t.Models {
 		if m.Name == name {
 			return m, true
