--- a/entry/entry_test.go
+++ b/entry/entry_test.go
@@ -119,7 +119,7 @@
 	require.NoError(t, err)
 	defer l.net.Close()
 	_, err = listen("peers", l.addr(), nil)
-	var refused *ListenError
-	require.True(t, errors.As(err, &refused))
-	require.Equal(t, "peers", refused.Name)
+	var listenErr *ListenError
+	require.True(t, errors.As(err, &listenErr))
+	require.Equal(t, "peers", listenErr.Name)
 }
--- a/entry/hints.go
+++ b/entry/hints.go
@@ -77,8 +77,8 @@
 
 // addServer puts a server that is not in the queue at its front.
 func addServer(queue []polledServer, s server) []polledServer {
-	for _, a := range queue {
-		if a.server == s {
+	for _, polled := range queue {
+		if polled.server == s {
 			return queue
 		}
 	}
@@ -88,18 +88,18 @@
 
 // poll fetches a server's cache events and reports whether the server answered. A server
 // that does not answer leaves the queue until it is used again.
-func (p *cachePoller) poll(ctx context.Context, a *polledServer) bool {
+func (p *cachePoller) poll(ctx context.Context, s *polledServer) bool {
 	ctx, cancel := context.WithTimeout(ctx, cachePollTimeout)
 	defer cancel()
-	events, err := p.engine.CacheEvents(ctx, a.addr, a.after)
+	events, err := p.engine.CacheEvents(ctx, s.addr, s.after)
 	if err != nil {
 		p.metrics.Add("failed", 1)
 		return false
 	}
 	p.metrics.Add("events", int64(len(events)))
 	if len(events) > 0 {
-		a.after = events[len(events)-1].Sequence
-		p.applyEvents(a.id, events)
+		s.after = events[len(events)-1].Sequence
+		p.applyEvents(s.id, events)
 	}
 	return true
 }
--- a/entry/holding.go
+++ b/entry/holding.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// newServerChecker returns the duty that checks this instance's share of the failure
+// serverChecker returns the duty that checks this instance's share of the failure
 // domain's servers.
 func (i *Instance) serverChecker() *serverChecker {
 	return &serverChecker{
--- a/entry/patrol.go
+++ b/entry/patrol.go
@@ -44,10 +44,10 @@
 }
 
 // run checks one server after the other until ctx ends.
-func (p *serverChecker) run(ctx context.Context) error {
+func (c *serverChecker) run(ctx context.Context) error {
 	last := ""
 	for {
-		share := p.share()
+		share := c.share()
 		wait := idleCheckInterval
 		if len(share) > 0 {
 			wait = checkInterval / time.Duration(len(share))
@@ -57,17 +57,17 @@
 		}
 		if len(share) > 0 {
 			next := nextServer(share, last)
-			p.check(ctx, next)
+			c.check(ctx, next)
 			last = next.ID
 		}
 	}
 }
 
 // share returns the servers that this instance checks, ordered by id.
-func (p *serverChecker) share() []infra.Instance {
-	members := p.members()
-	return slices.DeleteFunc(p.list().Servers(p.domain), func(s infra.Instance) bool {
-		return rendezvous.Leader(s.ID, members) != p.ownID
+func (c *serverChecker) share() []infra.Instance {
+	members := c.members()
+	return slices.DeleteFunc(c.list().Servers(c.domain), func(s infra.Instance) bool {
+		return rendezvous.Leader(s.ID, members) != c.ownID
 	})
 }
 
@@ -83,24 +83,24 @@
 
 // check polls one server and reports a server that fails to answer or whose state differs
 // from the log.
-func (p *serverChecker) check(ctx context.Context, s infra.Instance) {
-	view := p.view()
+func (c *serverChecker) check(ctx context.Context, s infra.Instance) {
+	view := c.view()
 	if view == nil || view.Servers[s.ID] == nil {
 		return // the lease holder discovers servers that the log does not have yet
 	}
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
-	status, err := p.engine.Status(ctx, s.Addr)
-	p.metrics.Add("looks", 1)
+	status, err := c.engine.Status(ctx, s.Addr)
+	c.metrics.Add("looks", 1)
 	if ctx.Err() == context.Canceled {
 		return
 	}
 	if err == nil {
-		p.reportBoot(s.ID, status.Boot)
+		c.reportBoot(s.ID, status.Boot)
 	}
 	if err != nil || !matchesLog(status, view.Servers[s.ID]) {
-		p.metrics.Add("reported", 1)
-		p.report(s.ID)
+		c.metrics.Add("reported", 1)
+		c.report(s.ID)
 	}
 }
 
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -75,7 +75,7 @@
 	entry.Info("crash reported")
 }
 
-// suspectStatus returns the requests against which crashes count, sorted by fingerprint.
+// status returns the requests against which crashes count, sorted by fingerprint.
 func (q *quarantine) status() []SuspectStatus {
 	view := q.follower.View()
 	if view == nil {
--- a/entry/status.go
+++ b/entry/status.go
@@ -18,7 +18,7 @@
 	FailureDomain string          `json:"failure_domain"`
 	Ready         bool            `json:"ready"`
 	NotReady      []string        `json:"not_ready,omitempty"` // reasons why it is not ready
-	ConfigOffset  uint64          `json:"config_offset"`       // log offset of the verdict that put the configuration in force; 0: none
+	ConfigOffset  uint64          `json:"config_offset"`       // log offset of the verdict in force; 0: none
 	Streams       []StreamStatus  `json:"streams"`
 	List          ListStatus      `json:"list"`
 	Leases        []LeaseStatus   `json:"leases"`
--- a/entry/wiring.go
+++ b/entry/wiring.go
@@ -17,7 +17,7 @@
 	"greengageferry/supervise"
 )
 
-// newMetrics adds an empty map for a component to the instance's metrics and returns it.
+// vars adds an empty expvar map for a component to the instance's metrics and returns the map.
 func (i *Instance) vars(name string) *expvar.Map {
 	m := new(expvar.Map)
 	i.metrics.Set(name, m)
--- a/infra/http.go
+++ b/infra/http.go
@@ -50,7 +50,7 @@
 type SizeError struct{ Limit int64 } // in bytes
 
 // Error implements error.
-func (e *SizeError) Error() string { return "the response is larger than its limit" }
+func (e *SizeError) Error() string { return "the answer is larger than its bound" }
 
 // httpClient makes the HTTP calls to one service.
 type httpClient struct {
--- a/supervise/supervise_test.go
+++ b/supervise/supervise_test.go
@@ -52,9 +52,9 @@
 		runs := 0
 		failing := Duty{Name: "failing", Run: func(context.Context) error { runs++; return testError{} }}
 		err := Run(t.Context(), quietOptions(), Tree("level", quietOptions(), sibling, failing))
-		var gaveUp *RestartLimitError
-		require.True(t, errors.As(err, &gaveUp))
-		require.Equal(t, "level", gaveUp.Duty)
+		var limitErr *RestartLimitError
+		require.True(t, errors.As(err, &limitErr))
+		require.Equal(t, "level", limitErr.Duty)
 		require.True(t, errors.As(err, &testError{}))
 		require.True(t, siblingEnded)
 		require.Equal(t, (DefaultMaxRestarts+1)*(DefaultMaxRestarts+1), runs)
--- a/whole/deploy_test.go
+++ b/whole/deploy_test.go
@@ -88,8 +88,8 @@
 	calls int // number of requests created; makes each request unique
 }
 
-// tailBytes is the minimum length of the log's end that a failed test prints, if the log is
-// longer.
+// tailBytes is the minimum size of the log tail that is kept for a failed test. At most
+// twice as much is kept.
 const tailBytes = 1 << 20
 
 // logTail keeps the end of the data that is written to it.
@@ -441,17 +441,17 @@
 }
 
 // kind returns the kind of the request, for the log of a test.
-func (t CallerView) kind() string {
+func (v CallerView) kind() string {
 	switch {
-	case t.Service.Service != "" && t.idempotencyKey() != "":
+	case v.Service.Service != "" && v.idempotencyKey() != "":
 		return "keyed service call"
-	case t.Service.Service != "":
+	case v.Service.Service != "":
 		return "service call"
-	case t.idempotencyKey() != "":
+	case v.idempotencyKey() != "":
 		return "keyed"
-	case t.nonIdempotent():
+	case v.nonIdempotent():
 		return "run once"
-	case t.Request.Streamed:
+	case v.Request.Streamed:
 		return "streamed"
 	}
 	return "whole"
--- a/whole/failures_test.go
+++ b/whole/failures_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// heal heals the partition that partition made.
+// heal reconnects nodes that partition has isolated.
 func (d *deployment) heal(nodes []*node) {
 	isolated := nodePlaces(nodes)
 	isolated[nodes[0].domain.Name] = true
--- a/whole/history.go
+++ b/whole/history.go
@@ -24,25 +24,25 @@
 }
 
 // identity returns the prompt or body of the request, which is unique to the request.
-func (t CallerView) identity() string {
-	if t.Service.Service != "" {
-		return t.Service.Body
+func (v CallerView) identity() string {
+	if v.Service.Service != "" {
+		return v.Service.Body
 	}
-	return t.Request.Prompt
+	return v.Request.Prompt
 }
 
 // idempotencyKey returns the request's idempotency key, or "" if it has none.
-func (t CallerView) idempotencyKey() string {
-	if t.Service.Service != "" {
-		return t.Service.IdempotencyKey
+func (v CallerView) idempotencyKey() string {
+	if v.Service.Service != "" {
+		return v.Service.IdempotencyKey
 	}
-	return t.Request.IdempotencyKey
+	return v.Request.IdempotencyKey
 }
 
-// nonIdempotent reports whether the request may run at most once, as any call to a plain
-// service may, because the calls are POSTs.
-func (t CallerView) nonIdempotent() bool {
-	return t.Service.Service != "" || t.Request.NonIdempotent
+// nonIdempotent reports whether the request must run at most once. This holds for all calls
+// to plain services, because they are POSTs.
+func (v CallerView) nonIdempotent() bool {
+	return v.Service.Service != "" || v.Request.NonIdempotent
 }
 
 // History records the callers' views, in the order in which their requests ended. It is safe
--- a/whole/rules.go
+++ b/whole/rules.go
@@ -266,13 +266,13 @@
 func checkConfigPropagation(truth GroundTruth) Result {
 	r := Result{Rule: RuleConfigPropagation}
 	for _, accepted := range truth.AcceptedConfig {
-		for _, seen := range truth.ObservedConfig {
-			if seen.At.Sub(accepted.At) <= ConfigPropagationLimit {
+		for _, observed := range truth.ObservedConfig {
+			if observed.At.Sub(accepted.At) <= ConfigPropagationLimit {
 				continue
 			}
 			r.Events++
-			if seen.Offset < accepted.Offset {
-				r.addViolation("instance %s had version %d in force %v after %d was accepted", seen.Instance, seen.Offset, seen.At.Sub(accepted.At), accepted.Offset)
+			if observed.Offset < accepted.Offset {
+				r.addViolation("instance %s had version %d in force %v after %d was accepted", observed.Instance, observed.Offset, observed.At.Sub(accepted.At), accepted.Offset)
 			}
 		}
 	}
@@ -284,12 +284,12 @@
 func checkConfigMonotonic(truth GroundTruth) Result {
 	r := Result{Rule: RuleConfigMonotonic}
 	newest := map[string]uint64{}
-	for _, seen := range truth.ObservedConfig {
+	for _, observed := range truth.ObservedConfig {
 		r.Events++
-		if seen.Offset < newest[seen.Instance] {
-			r.addViolation("instance %s went back from version %d to %d", seen.Instance, newest[seen.Instance], seen.Offset)
+		if observed.Offset < newest[observed.Instance] {
+			r.addViolation("instance %s went back from version %d to %d", observed.Instance, newest[observed.Instance], observed.Offset)
 		}
-		newest[seen.Instance] = max(newest[seen.Instance], seen.Offset)
+		newest[observed.Instance] = max(newest[observed.Instance], observed.Offset)
 	}
 	return r
 }
