--- a/cmd/greengageferry/standin.go
+++ b/cmd/greengageferry/standin.go
@@ -77,7 +77,7 @@
 	f.StringVar(&c.engine.Poison, "poison", standin.DefaultPoison, "engine: a prompt with this text crashes it")
 
 	f.StringVar(&c.service.Name, "name", "service", "service: its name")
-	f.DurationVar(&c.service.Work, "work", 0, "service: how long a call takes")
+	f.DurationVar(&c.service.CallDuration, "work", 0, "service: how long a call takes")
 }
 
 // addLimits parses a partner's limits.
@@ -124,7 +124,7 @@
 }
 
 // build makes the stand-in that the flags ask for.
-func (c *standinCommand) build() (standin.Standin, error) {
+func (c *standinCommand) build() (standin.Fake, error) {
 	switch c.kind {
 	case "log":
 		return standin.NewLog(c.log), nil
@@ -143,7 +143,7 @@
 	return nil, &standinUsageError{Flag: "kind", Problem: "want log, store, instances, engine or service"}
 }
 
-func (c *standinCommand) buildList() (standin.Standin, error) {
+func (c *standinCommand) buildList() (standin.Fake, error) {
 	list := standin.NewInstanceList(c.lag)
 	if c.file == "" {
 		return list, nil
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -58,7 +58,7 @@
 	if err := f.fillLog(ctx); err != nil {
 		return nil, err
 	}
-	parts := map[string]standin.Standin{
+	parts := map[string]standin.Fake{
 		"log":   f.log,
 		"list":  list,
 		"store": standin.NewWeightStore(standin.StoreOptions{}),
--- a/quickstart/quickstart.go
+++ b/quickstart/quickstart.go
@@ -129,7 +129,7 @@
 }
 
 func (p *Platform) start(opts PlatformOptions) error {
-	services := map[string]standin.Standin{"log": p.Log, "list": p.List, "store": p.Store}
+	services := map[string]standin.Fake{"log": p.Log, "list": p.List, "store": p.Store}
 	for name, s := range services {
 		if err := p.serve(name, s); err != nil {
 			return err
@@ -153,7 +153,7 @@
 		p.list(id, infra.RoleEngine, d, d.Pool, engineMemoryMiB)
 	}
 	id := fmt.Sprintf("%s-%s-1", d.Service, d.Name)
-	p.Services[id] = standin.NewService(standin.ServiceOptions{Name: d.Service, Work: serviceWork})
+	p.Services[id] = standin.NewService(standin.ServiceOptions{Name: d.Service, CallDuration: serviceWork})
 	if err := p.serve(id, p.Services[id]); err != nil {
 		return err
 	}
@@ -178,7 +178,7 @@
 }
 
 // serve starts a stand-in on an address of its own.
-func (p *Platform) serve(name string, s standin.Standin) error {
+func (p *Platform) serve(name string, s standin.Fake) error {
 	server, err := standin.Start("127.0.0.1:0", s)
 	if err != nil {
 		return err
--- a/standin/bench_test.go
+++ b/standin/bench_test.go
@@ -12,9 +12,9 @@
 	"greengageferry/infra"
 )
 
-// BenchmarkEngineHTTP measures how many tokens a second one engine gives over
-// HTTP when its steps take no time: the ceiling of what a load through it can
-// measure.
+// BenchmarkEngineHTTP measures the tokens per second of one engine over HTTP when
+// batch steps take almost no time. This is the upper limit of what a load test
+// through the engine can measure.
 func BenchmarkEngineHTTP(b *testing.B) {
 	for _, streams := range []int{1, 16, 64} {
 		b.Run(fmt.Sprintf("streams=%d", streams), func(b *testing.B) {
--- a/standin/direct.go
+++ b/standin/direct.go
@@ -7,37 +7,38 @@
 	"greengageferry/infra"
 )
 
-// Engines is a infra.Engine over engines in the same process, each at the
-// address that Add gave it.
-type Engines struct {
+// LocalEngines implements infra.Engine by direct calls to engines in the same
+// process. Add assigns each engine its address.
+type LocalEngines struct {
 	mu     sync.Mutex
 	byAddr map[string]*Engine
 }
 
-var _ infra.Engine = (*Engines)(nil)
+var _ infra.Engine = (*LocalEngines)(nil)
 
-// NewEngines returns an Engines without any.
-func NewEngines() *Engines { return &Engines{byAddr: map[string]*Engine{}} }
+// NewLocalEngines returns a LocalEngines without engines.
+func NewLocalEngines() *LocalEngines { return &LocalEngines{byAddr: map[string]*Engine{}} }
 
-// Add puts an engine at an address; nil takes away what is there.
-func (s *Engines) Add(addr string, e *Engine) {
+// Add assigns the address to an engine. A nil engine removes the one at the address.
+func (s *LocalEngines) Add(addr string, e *Engine) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.byAddr[addr] = e
 }
 
-func (s *Engines) at(op, addr string) (*Engine, error) {
+// lookup returns the engine at the address, or an error with ReasonUnreachable.
+func (s *LocalEngines) lookup(op, addr string) (*Engine, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if e := s.byAddr[addr]; e != nil {
 		return e, nil
 	}
-	return nil, refusal(op, addr, infra.ReasonUnreachable)
+	return nil, refusalError(op, addr, infra.ReasonUnreachable)
 }
 
 // Generate implements infra.Engine.
-func (s *Engines) Generate(ctx context.Context, addr string, req infra.GenerateRequest) (infra.Stream, error) {
-	e, err := s.at("engine.generate", addr)
+func (s *LocalEngines) Generate(ctx context.Context, addr string, req infra.GenerateRequest) (infra.Stream, error) {
+	e, err := s.lookup("engine.generate", addr)
 	if err != nil {
 		return nil, err
 	}
@@ -45,8 +46,8 @@
 }
 
 // Cancel implements infra.Engine.
-func (s *Engines) Cancel(ctx context.Context, addr, attempt string) error {
-	e, err := s.at("engine.cancel", addr)
+func (s *LocalEngines) Cancel(ctx context.Context, addr, attempt string) error {
+	e, err := s.lookup("engine.cancel", addr)
 	if err != nil {
 		return err
 	}
@@ -54,8 +55,8 @@
 }
 
 // Order implements infra.Engine.
-func (s *Engines) Order(ctx context.Context, addr string, order infra.Order) error {
-	e, err := s.at("engine.order", addr)
+func (s *LocalEngines) Order(ctx context.Context, addr string, order infra.Order) error {
+	e, err := s.lookup("engine.order", addr)
 	if err != nil {
 		return err
 	}
@@ -63,8 +64,8 @@
 }
 
 // Status implements infra.Engine.
-func (s *Engines) Status(ctx context.Context, addr string) (infra.ServerStatus, error) {
-	e, err := s.at("engine.status", addr)
+func (s *LocalEngines) Status(ctx context.Context, addr string) (infra.ServerStatus, error) {
+	e, err := s.lookup("engine.status", addr)
 	if err != nil {
 		return infra.ServerStatus{}, err
 	}
@@ -72,8 +73,8 @@
 }
 
 // CacheEvents implements infra.Engine.
-func (s *Engines) CacheEvents(ctx context.Context, addr string, after uint64) ([]infra.CacheEvent, error) {
-	e, err := s.at("engine.cache_events", addr)
+func (s *LocalEngines) CacheEvents(ctx context.Context, addr string, after uint64) ([]infra.CacheEvent, error) {
+	e, err := s.lookup("engine.cache_events", addr)
 	if err != nil {
 		return nil, err
 	}
--- a/standin/doc.go
+++ b/standin/doc.go
@@ -1,10 +1,15 @@
-// Package standin holds small stand-ins for what the platform gives: the log,
-// the list of instances, the weight store, model engines and plain services.
-// Each implements its platform interface in process, through the same code that
-// its http.Handler serves, and takes faults at run time. Each keeps the truth of
-// what it did, for checks of the whole system.
+// Package standin contains in-memory fakes of the platform's services, for tests
+// and for trying the system out: the log (Log), the list of instances
+// (InstanceList), the weight store (WeightStore), model engines (Engine) and plain
+// services (Service). The fakes persist nothing.
 //
-// The stand-ins read time through package time only, so that they run under
-// testing/synctest. They are for tests and for trying the system out: nothing
-// that they hold lasts.
+// Each fake is an http.Handler, and Start serves it on a loopback address. Log,
+// InstanceList, WeightStore and, through LocalEngines, Engine also implement their
+// interfaces of package infra in process, by the same code. Each fake has a Faults
+// field for injecting faults at run time. Each has a Truth method that returns the
+// ground truth, the record of what it actually did, for checks of the whole system.
+// Network simulates partitions between failure domains and the death of nodes.
+//
+// The fakes read the clock and sleep through package time only, so that they run
+// under testing/synctest.
 package standin
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -11,43 +11,43 @@
 	"greengageferry/infra"
 )
 
-// Defaults of engines. The speeds are those of a mid-sized model on one
+// Defaults of EngineOptions. The speeds are those of a mid-sized model on one
 // accelerator.
 const (
-	DefaultSlots          = 16
-	DefaultMemoryMiB      = 80 << 10
-	DefaultStepBase       = 10 * time.Millisecond
-	DefaultStepPerRequest = 500 * time.Microsecond
-	DefaultPrefillPerKiB  = 4 * time.Millisecond
-	DefaultCachePrefixes  = 64
-	DefaultUnloadTime     = 300 * time.Millisecond
-	DefaultLoadLag        = 250 * time.Millisecond
-	// DefaultPoison is the text that crashes an engine when a prompt has it.
+	DefaultSlots            = 16
+	DefaultMemoryMiB        = 80 << 10
+	DefaultStepBase         = 10 * time.Millisecond
+	DefaultStepPerRequest   = 500 * time.Microsecond
+	DefaultPrefillPerKiB    = 4 * time.Millisecond
+	DefaultCachePrefixes    = 64
+	DefaultUnloadTime       = 300 * time.Millisecond
+	DefaultLoadReportMaxAge = 250 * time.Millisecond
+	// DefaultPoison is the text that crashes an engine when a prompt contains it.
 	DefaultPoison = "<crash-server>"
-	// waitingPerSlot bounds what an engine queues, in requests for each slot.
+	// waitingPerSlot is the default of MaxWaiting, in queued requests per slot.
 	waitingPerSlot = 4
 )
 
-// EngineOptions are an engine's settings. Zero values mean the defaults.
+// EngineOptions configures an Engine. Zero values mean the defaults.
 type EngineOptions struct {
-	ID             string
-	Partner        string // whose part of the store its loads go to
-	MemoryMiB      int64
-	Slots          int           // requests that it batches at most
-	MaxWaiting     int           // requests that it queues at most
-	StepBase       time.Duration // a batch's time for one token of each request
-	StepPerRequest time.Duration // more of it for each request in the batch
-	PrefillPerKiB  time.Duration // time to take in 1 KiB of a prompt that isn't cached
-	CachePrefixes  int           // prompt prefixes that it keeps
-	CacheLag       time.Duration // how late cache events show
-	CacheGap       int           // each CacheGap-th cache event is never shown; 0: all are
-	UnloadTime     time.Duration
-	LoadLag        time.Duration // how old its load report is at most
-	IgnoresFence   bool          // takes orders whatever their fencing number
-	KeepsFence     bool          // remembers the highest fencing number over a restart
-	RestartTime    time.Duration // how long it is down after a crash
-	Poison         string        // a prompt with this text crashes it
-	Store          Fetcher       // nil: weights are there at once
+	ID               string
+	Partner          string // the partner whose store limits apply to its loads
+	MemoryMiB        int64
+	Slots            int           // maximum number of requests in the batch
+	MaxWaiting       int           // maximum number of queued requests
+	StepBase         time.Duration // time of a batch step, which generates one token for each request
+	StepPerRequest   time.Duration // added to StepBase for each request in the batch
+	PrefillPerKiB    time.Duration // time to process 1 KiB of a prompt that is not cached
+	CachePrefixes    int           // maximum number of cached prompt prefixes
+	CacheLag         time.Duration // delay until a cache event becomes visible
+	CacheGap         int           // every CacheGap-th cache event is lost; 0: none is
+	UnloadTime       time.Duration
+	LoadReportMaxAge time.Duration // maximum age of its load report
+	IgnoresFence     bool          // accepts orders with any fencing number
+	KeepsFence       bool          // keeps the highest fencing number across restarts
+	RestartTime      time.Duration // downtime after a crash
+	Poison           string        // a prompt that contains this text crashes the engine
+	Store            Fetcher       // nil: weights are available at once
 }
 
 func (o EngineOptions) withDefaults() EngineOptions {
@@ -59,7 +59,7 @@
 	setDefault(&o.PrefillPerKiB, DefaultPrefillPerKiB)
 	setDefault(&o.CachePrefixes, DefaultCachePrefixes)
 	setDefault(&o.UnloadTime, DefaultUnloadTime)
-	setDefault(&o.LoadLag, DefaultLoadLag)
+	setDefault(&o.LoadReportMaxAge, DefaultLoadReportMaxAge)
 	setDefault(&o.Poison, DefaultPoison)
 	return o
 }
@@ -71,63 +71,64 @@
 	}
 }
 
-// Engine is a stand-in for a model engine on a backend server. Its operations
-// are "engine.generate", "engine.cancel", "engine.order", "engine.status" and
-// "engine.cache_events". It is up while Run runs.
+// Engine is a fake model engine on a backend server. It simulates batching, memory,
+// a prefix cache and crashes of its process. The process is up only while Run runs.
+// The operations for Faults are "engine.generate", "engine.cancel", "engine.order",
+// "engine.status" and "engine.cache_events".
 type Engine struct {
-	Faults Faults // of calls
+	Faults Faults // faults of calls
 
-	options EngineOptions
-	mux     *http.ServeMux
-	wake    chan struct{}  // holds one token; full means that a wake is pending
-	loads   sync.WaitGroup // goroutines of loads and unloads
-	breaks  func()         // breaks the connections of its server
+	options          EngineOptions
+	mux              *http.ServeMux
+	wake             chan struct{}  // capacity 1; full: a wake-up is pending
+	loadTasks        sync.WaitGroup // goroutines of loads
+	closeConnections func()         // closes the connections of its server; nil: not served
 
-	mu       sync.Mutex
-	up       bool
-	boots    int
-	leaving  bool
-	slow     float64
-	fence    uint64
-	pieces   PieceHook
-	items    map[infra.Key]*residentItem
-	attempts map[string]*attempt
-	running  []*attempt
-	waiting  []*attempt // highest priority first, then oldest first
-	cache    prefixCache
-	speed    speedometer
-	truth    engineTruth
-	boot     context.Context    // ends at a restart
-	stopBoot context.CancelFunc // ends boot
-	parent   context.Context    // Run's
+	mu            sync.Mutex
+	up            bool
+	bootCount     int
+	leaving       bool
+	slowdown      float64
+	fence         uint64
+	eventFaults   EventFaultHook
+	items         map[infra.Key]*residentItem
+	attempts      map[string]*attempt
+	running       []*attempt
+	waiting       []*attempt // highest priority first, then oldest first
+	cache         prefixCache
+	throughput    throughputMeter
+	truth         engineTruth
+	processCtx    context.Context    // canceled when the process ends
+	cancelProcess context.CancelFunc // cancels processCtx
+	runCtx        context.Context    // the context of Run
 }
 
-var _ Standin = (*Engine)(nil)
+var _ Fake = (*Engine)(nil)
 
-// NewEngine returns an engine that holds nothing.
+// NewEngine returns an engine with no items loaded.
 func NewEngine(options EngineOptions) *Engine {
 	options = options.withDefaults()
 	e := &Engine{
 		options:  options,
 		wake:     make(chan struct{}, 1),
-		slow:     1,
+		slowdown: 1,
 		items:    map[infra.Key]*residentItem{},
 		attempts: map[string]*attempt{},
 		cache:    newPrefixCache(options),
 	}
-	e.truth.limit = maxTruth
+	e.truth.limit = maxTruthEntries
 	e.mux = e.routes()
 	return e
 }
 
-// ID returns its id on the platform's list.
+// ID returns the engine's id on the platform's list of instances.
 func (e *Engine) ID() string { return e.options.ID }
 
-// Run implements Standin.
+// Run implements Fake. Each iteration runs one batch step.
 func (e *Engine) Run(ctx context.Context) error {
 	e.start(ctx)
-	defer e.loads.Wait()
-	defer e.stop(0, "stopped")
+	defer e.loadTasks.Wait()
+	defer e.stopProcess(0, "stopped")
 	for {
 		step, ok := e.beginStep()
 		if !ok {
@@ -148,46 +149,48 @@
 func (e *Engine) start(ctx context.Context) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.parent = ctx
-	e.bootUp()
+	e.runCtx = ctx
+	e.startProcess()
 }
 
-// bootUp makes it a new, empty process. The caller holds mu.
-func (e *Engine) bootUp() {
-	if e.parent == nil || e.parent.Err() != nil {
+// startProcess starts a new process with empty memory unless Run has ended. The
+// caller holds mu.
+func (e *Engine) startProcess() {
+	if e.runCtx == nil || e.runCtx.Err() != nil {
 		return
 	}
 	e.up = true
-	e.boots++
-	e.boot, e.stopBoot = context.WithCancel(e.parent)
+	e.bootCount++
+	e.processCtx, e.cancelProcess = context.WithCancel(e.runCtx)
 }
 
-// stop ends the process: streams break, memory is free, and it comes up again
-// after the given time unless that is 0.
-func (e *Engine) stop(restart time.Duration, why string) {
+// stopProcess ends the process: it breaks the streams and frees the memory. A new
+// process starts after the restart time; 0 means never. The reason goes into
+// EngineTruth.StopReasons.
+func (e *Engine) stopProcess(restart time.Duration, reason string) {
 	e.mu.Lock()
 	if e.up {
-		e.die(why)
+		e.endProcess(reason)
 	}
 	e.mu.Unlock()
-	if e.breaks != nil {
-		e.breaks()
+	if e.closeConnections != nil {
+		e.closeConnections()
 	}
 	if restart > 0 {
 		time.AfterFunc(restart, func() {
 			e.mu.Lock()
 			defer e.mu.Unlock()
 			if !e.up {
-				e.bootUp()
+				e.startProcess()
 			}
 		})
 	}
 }
 
-// die drops all that a process holds. The caller holds mu.
-func (e *Engine) die(why string) {
+// endProcess discards the state of the process. The caller holds mu.
+func (e *Engine) endProcess(reason string) {
 	e.up = false
-	e.stopBoot()
+	e.cancelProcess()
 	for _, a := range slices.Concat(e.running, e.waiting) {
 		e.endAttempt(a, EndCrashed)
 	}
@@ -196,91 +199,97 @@
 	if !e.options.KeepsFence {
 		e.fence = 0
 	}
-	e.truth.stopped(why)
+	e.truth.addStop(reason)
 }
 
-// Restart kills the process, and starts it again empty after the given time.
-func (e *Engine) Restart(after time.Duration) { e.stop(max(after, 1), "restarted") }
+// Restart kills the process and starts an empty one after the given time.
+func (e *Engine) Restart(after time.Duration) { e.stopProcess(max(after, 1), "restarted") }
 
-// Kill kills the process for good.
-func (e *Engine) Kill() { e.stop(0, "killed") }
+// Kill kills the process and starts no new one.
+func (e *Engine) Kill() { e.stopProcess(0, "killed") }
 
-// SetLeaving has it say that it is leaving, and refuse new requests.
+// SetLeaving sets whether the engine reports that it is leaving and refuses new
+// requests.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
-	e.truth.left(leaving)
+	e.truth.setLeaving(leaving)
 }
 
-// SetSlow makes each step take factor times as long.
-func (e *Engine) SetSlow(factor float64) {
+// SetSlowdown makes each batch step take factor times as long.
+func (e *Engine) SetSlowdown(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.slow = factor
+	e.slowdown = factor
 }
 
-// SetPieces replaces the hook that changes the pieces of streams; nil for none.
-func (e *Engine) SetPieces(hook PieceHook) {
+// SetEventFaults replaces the hook that injects faults into the events of streams.
+// A nil hook ends them.
+func (e *Engine) SetEventFaults(hook EventFaultHook) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pieces = hook
+	e.eventFaults = hook
 }
 
-func (e *Engine) onBreak(f func()) { e.breaks = f }
+func (e *Engine) setCloseConnections(f func()) { e.closeConnections = f }
 
-// down returns the failure of a call while the process isn't there. The caller
-// holds mu.
-func (e *Engine) down(op string) error {
+// checkUp returns an error with ReasonUnreachable if the process is down, else
+// nil. The caller holds mu.
+func (e *Engine) checkUp(op string) error {
 	if e.up {
 		return nil
 	}
-	return refusal(op, e.options.ID, infra.ReasonUnreachable)
+	return refusalError(op, e.options.ID, infra.ReasonUnreachable)
 }
 
 // status implements infra.Engine's Status for one server.
 func (e *Engine) status(ctx context.Context) (infra.ServerStatus, error) {
 	const op = "engine.status"
 	var status infra.ServerStatus
-	err := e.Faults.do(ctx, op, e.options.ID, func() error {
+	err := e.Faults.inject(ctx, op, e.options.ID, func() error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if err := e.down(op); err != nil {
+		if err := e.checkUp(op); err != nil {
 			return err
 		}
 		status = infra.ServerStatus{
 			ID:        e.options.ID,
-			Boot:      fmt.Sprintf("%s-%d", e.options.ID, e.boots),
+			Boot:      fmt.Sprintf("%s-%d", e.options.ID, e.bootCount),
 			Leaving:   e.leaving,
 			MemoryMiB: e.options.MemoryMiB,
 			Fence:     e.fence,
-			Items:     e.residents(),
-			Load:      e.load(),
+			Items:     e.residentItems(),
+			Load:      e.loadReport(),
 		}
 		return nil
 	})
 	return status, err
 }
 
-// load returns its own report, which lags. The caller holds mu.
-func (e *Engine) load() infra.Load {
-	return e.speed.report(e.options.LoadLag, infra.Load{
+// loadReport returns the engine's load report, which may be as old as
+// LoadReportMaxAge. The caller holds mu.
+func (e *Engine) loadReport() infra.Load {
+	return e.throughput.report(e.options.LoadReportMaxAge, infra.Load{
 		Running: len(e.running),
 		Waiting: len(e.waiting),
 		Slots:   e.options.Slots,
 	})
 }
 
-// speedometer measures tokens a second between its reports.
-type speedometer struct {
+// throughputMeter keeps the last load report and measures tokens per second
+// between reports.
+type throughputMeter struct {
 	last   infra.Load
 	at     time.Time
 	tokens int
 }
 
-func (s *speedometer) report(lag time.Duration, now infra.Load) infra.Load {
+// report returns the last report if it is younger than maxAge. Otherwise it returns
+// now with the throughput since the last report, and keeps that.
+func (s *throughputMeter) report(maxAge time.Duration, now infra.Load) infra.Load {
 	age := time.Since(s.at)
-	if age < lag {
+	if age < maxAge {
 		return s.last
 	}
 	if !s.at.IsZero() {
--- a/standin/engine_batch.go
+++ b/standin/engine_batch.go
@@ -10,40 +10,40 @@
 	"greengageferry/infra"
 )
 
-// streamBuffer is how many events wait for a stream's reader. When it is full
-// the request keeps its slot and generates nothing.
+// streamBuffer is how many events are buffered for a stream's reader. While the
+// buffer is full, the request keeps its slot and generates nothing.
 const streamBuffer = 32
 
-// loadEvery is how many tokens apart a stream bears the server's load report.
-const loadEvery = 16
+// tokensPerLoadReport is after how many tokens a stream carries another load report.
+const tokensPerLoadReport = 16
 
-// attempt is one accepted request.
+// attempt is an accepted request that is queued or running.
 type attempt struct {
-	req    infra.GenerateRequest
-	answer Answer
-	length int
-	finish infra.Finish
-	items  []*residentItem
-	run    *Run
-	next   int              // index of the token to generate
-	out    chan infra.Event // full: the reader is behind, and the request waits
-	gone   chan struct{}    // closed when the attempt ended without its Finish
-	ended  bool
+	req       infra.GenerateRequest
+	answer    Answer
+	length    int
+	finish    infra.Finish
+	items     []*residentItem
+	record    *Run
+	nextIndex int              // index of the next token to generate
+	events    chan infra.Event // full: generation waits for the reader
+	aborted   chan struct{}    // closed when the attempt ends without a Finish
+	ended     bool
 }
 
 // generate implements infra.Engine's Generate for one server.
 func (e *Engine) generate(ctx context.Context, req infra.GenerateRequest) (infra.Stream, error) {
 	const op = "engine.generate"
 	var s *engineStream
-	err := e.Faults.do(ctx, op, e.options.ID, func() error {
+	err := e.Faults.inject(ctx, op, e.options.ID, func() error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if err := e.down(op); err != nil {
+		if err := e.checkUp(op); err != nil {
 			return err
 		}
-		if reason := e.refuses(req); reason != "" {
-			e.truth.refused(req.Attempt, reason)
-			return refusal(op, e.options.ID, reason)
+		if reason := e.refusalReason(req); reason != "" {
+			e.truth.addRefusal(req.Attempt, reason)
+			return refusalError(op, e.options.ID, reason)
 		}
 		s = newEngineStream(ctx, e, e.accept(req))
 		return nil
@@ -57,15 +57,16 @@
 	return s, nil
 }
 
-// refuses returns why it won't start a request, or "". The caller holds mu.
-func (e *Engine) refuses(req infra.GenerateRequest) infra.Reason {
+// refusalReason returns why the engine refuses the request, or "" if it accepts.
+// The caller holds mu.
+func (e *Engine) refusalReason(req infra.GenerateRequest) infra.Reason {
 	if req.Attempt == "" || req.MaxTokens <= 0 || len(req.Prefix) > req.MaxTokens {
 		return infra.ReasonBadRequest
 	}
 	if e.leaving {
 		return infra.ReasonLeaving
 	}
-	if _, ok := e.ready(req); !ok {
+	if _, ok := e.readyItems(req); !ok {
 		return infra.ReasonNotResident
 	}
 	if len(e.running) >= e.options.Slots && len(e.waiting) >= e.options.MaxWaiting {
@@ -74,46 +75,47 @@
 	return ""
 }
 
-// accept queues a request. The caller holds mu.
+// accept records and queues a request. The caller holds mu.
 func (e *Engine) accept(req infra.GenerateRequest) *attempt {
 	a := &attempt{
-		req:    req,
-		answer: AnswerTo(req),
-		next:   len(req.Prefix),
-		out:    make(chan infra.Event, streamBuffer),
-		gone:   make(chan struct{}),
+		req:       req,
+		answer:    AnswerTo(req),
+		nextIndex: len(req.Prefix),
+		events:    make(chan infra.Event, streamBuffer),
+		aborted:   make(chan struct{}),
 	}
 	a.length, a.finish = a.answer.Length(req.MaxTokens)
-	a.items, _ = e.ready(req)
+	a.items, _ = e.readyItems(req)
 	for _, r := range a.items {
 		r.users++
 	}
-	a.run = &Run{
+	a.record = &Run{
 		Attempt: req.Attempt, Model: req.Model, Adapter: req.Adapter, Version: req.Version,
-		Prompt: PromptHash(req.Prompt), Seed: req.Seed, From: len(req.Prefix), Boot: e.boots, Accepted: time.Now(),
+		Prompt: PromptHash(req.Prompt), Seed: req.Seed, PrefixTokens: len(req.Prefix), Boot: e.bootCount, Accepted: time.Now(),
 	}
-	e.truth.run(a.run)
-	e.check(a)
+	e.truth.record(a.record)
+	e.checkViolations(a)
 	e.attempts[req.Attempt] = a
 	e.enqueue(a)
 	return a
 }
 
-// check notes what must not be asked. The caller holds mu.
-func (e *Engine) check(a *attempt) {
+// checkViolations records a reused attempt id or a prefix that differs from the
+// expected answer. The caller holds mu.
+func (e *Engine) checkViolations(a *attempt) {
 	if e.attempts[a.req.Attempt] != nil {
-		e.truth.violated(ViolationAttempt, a.req.Attempt)
+		e.truth.addViolation(ViolationRepeatedAttempt, a.req.Attempt)
 	}
 	for i, token := range a.req.Prefix {
 		if i >= a.length || token != a.answer.Token(i) {
-			e.truth.violated(ViolationPrefix, fmt.Sprintf("attempt %s, token %d", a.req.Attempt, i))
+			e.truth.addViolation(ViolationWrongPrefix, fmt.Sprintf("attempt %s, token %d", a.req.Attempt, i))
 			return
 		}
 	}
 }
 
-// enqueue puts the attempt behind those of its priority and wakes the batch.
-// The caller holds mu.
+// enqueue queues the attempt after those of the same or a higher priority, and
+// wakes the batch loop. The caller holds mu.
 func (e *Engine) enqueue(a *attempt) {
 	i := len(e.waiting)
 	for i > 0 && e.waiting[i-1].req.Priority < a.req.Priority {
@@ -122,16 +124,16 @@
 	e.waiting = slices.Insert(e.waiting, i, a)
 	select {
 	case e.wake <- struct{}{}:
-	default: // a wake is pending
+	default: // a wake-up is pending
 	}
 }
 
-// beginStep fills the batch and returns how long its next step takes, or false
-// if there is nothing to do.
+// beginStep fills the batch and returns the duration of its next step, or false if
+// no request is running. A prompt with the poison text crashes the process.
 func (e *Engine) beginStep() (time.Duration, bool) {
 	prefill, poisoned := e.fillBatch()
 	if poisoned {
-		e.stop(max(e.options.RestartTime, 1), "crashed")
+		e.stopProcess(max(e.options.RestartTime, 1), "crashed")
 		return 0, false
 	}
 	e.mu.Lock()
@@ -140,38 +142,38 @@
 		return 0, false
 	}
 	step := e.options.StepBase + time.Duration(len(e.running))*e.options.StepPerRequest + prefill
-	return time.Duration(float64(step) * e.slow), true
+	return time.Duration(float64(step) * e.slowdown), true
 }
 
-// fillBatch moves waiting requests into free slots. It returns how long their
-// prompts take, and whether one of them crashes the process.
-func (e *Engine) fillBatch() (prefill time.Duration, poisoned bool) {
+// fillBatch moves queued requests into free slots. It returns the prefill time of
+// their prompts and whether one of them crashes the process.
+func (e *Engine) fillBatch() (prefillTime time.Duration, poisoned bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for len(e.waiting) > 0 && len(e.running) < e.options.Slots {
 		a := e.waiting[0]
 		e.waiting = slices.Delete(e.waiting, 0, 1)
 		e.running = append(e.running, a)
-		a.run.Started = time.Now()
+		a.record.Started = time.Now()
 		if strings.Contains(a.req.Prompt, e.options.Poison) {
 			return 0, true
 		}
-		prefill += e.prefill(a)
+		prefillTime += e.prefillTime(a)
 	}
-	return prefill, false
+	return prefillTime, false
 }
 
-// prefill returns the time to take in a prompt and the text so far. The caller
-// holds mu.
-func (e *Engine) prefill(a *attempt) time.Duration {
+// prefillTime returns the time to process the part of the prompt that is not
+// cached, and caches its prefix. The caller holds mu.
+func (e *Engine) prefillTime(a *attempt) time.Duration {
 	size := len(a.req.Prompt)
-	if e.cache.use(a.req.Model, a.req.Prompt) {
+	if e.cache.touch(a.req.Model, a.req.Prompt) {
 		size -= min(size, infra.PrefixBytes)
 	}
 	return time.Duration(size) * e.options.PrefillPerKiB / 1024
 }
 
-// endStep gives each running request its next token.
+// endStep generates the next token of each running request.
 func (e *Engine) endStep() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -180,43 +182,46 @@
 	}
 }
 
-// advance generates one token, and the Finish after the last one. The caller
-// holds mu.
+// advance generates one token, and after the last token the event with the Finish.
+// It needs room for both events. The caller holds mu.
 func (e *Engine) advance(a *attempt) {
-	if cap(a.out)-len(a.out) < 2 {
-		return // its reader is behind
+	if cap(a.events)-len(a.events) < 2 {
+		return // the reader is behind
 	}
-	if a.next < a.length {
-		a.out <- e.event(a)
-		a.next++
-		a.run.Tokens++
-		e.speed.tokens++
+	if a.nextIndex < a.length {
+		a.events <- e.event(a)
+		a.nextIndex++
+		a.record.Tokens++
+		e.throughput.tokens++
 	}
-	if a.next >= a.length {
-		load := e.load()
-		a.out <- infra.Event{Attempt: a.req.Attempt, Index: a.length, Finish: a.finish, Load: &load}
+	if a.nextIndex >= a.length {
+		loadReport := e.loadReport()
+		a.events <- infra.Event{Attempt: a.req.Attempt, Index: a.length, Finish: a.finish, Load: &loadReport}
 		e.endAttempt(a, EndComplete)
 	}
 }
 
+// event returns the event of the next token, with a load report if one is due.
+// The caller holds mu.
 func (e *Engine) event(a *attempt) infra.Event {
-	event := infra.Event{Attempt: a.req.Attempt, Index: a.next, Token: a.answer.Token(a.next)}
-	if a.next%loadEvery == 0 {
-		load := e.load()
-		event.Load = &load
+	event := infra.Event{Attempt: a.req.Attempt, Index: a.nextIndex, Token: a.answer.Token(a.nextIndex)}
+	if a.nextIndex%tokensPerLoadReport == 0 {
+		loadReport := e.loadReport()
+		event.Load = &loadReport
 	}
 	return event
 }
 
-// endAttempt frees what an attempt holds. The caller holds mu.
+// endAttempt removes the attempt from the batch and the queue and releases its
+// items. The caller holds mu.
 func (e *Engine) endAttempt(a *attempt, end RunEnd) {
 	if a.ended {
 		return
 	}
 	a.ended = true
-	a.run.End, a.run.Ended = end, time.Now()
+	a.record.End, a.record.Ended = end, time.Now()
 	if end != EndComplete {
-		close(a.gone)
+		close(a.aborted)
 	}
 	same := func(b *attempt) bool { return a == b }
 	e.running = slices.DeleteFunc(e.running, same)
@@ -230,10 +235,10 @@
 // cancel implements infra.Engine's Cancel for one server.
 func (e *Engine) cancel(ctx context.Context, id string) error {
 	const op = "engine.cancel"
-	return e.Faults.do(ctx, op, e.options.ID, func() error {
+	return e.Faults.inject(ctx, op, e.options.ID, func() error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if err := e.down(op); err != nil {
+		if err := e.checkUp(op); err != nil {
 			return err
 		}
 		if a := e.attempts[id]; a != nil {
@@ -247,10 +252,10 @@
 func (e *Engine) cacheEvents(ctx context.Context, after uint64) ([]infra.CacheEvent, error) {
 	const op = "engine.cache_events"
 	var events []infra.CacheEvent
-	err := e.Faults.do(ctx, op, e.options.ID, func() error {
+	err := e.Faults.inject(ctx, op, e.options.ID, func() error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if err := e.down(op); err != nil {
+		if err := e.checkUp(op); err != nil {
 			return err
 		}
 		events = e.cache.after(after)
--- a/standin/engine_http.go
+++ b/standin/engine_http.go
@@ -18,8 +18,8 @@
 	return mux
 }
 
-// ServeHTTP implements http.Handler. A process that isn't there answers
-// nothing.
+// ServeHTTP implements http.Handler. While the process is down it breaks the
+// connection without a response.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	up := e.up
@@ -47,8 +47,9 @@
 	}
 }
 
-// sendEvents writes a stream's events, and says whether it went out whole. What
-// the reader doesn't take holds it up, and with it the engine.
+// sendEvents writes the stream's events and returns whether the Finish was sent. A
+// reader that falls behind blocks sendEvents, and thereby pauses the generation of
+// this stream once its buffer is full.
 func sendEvents(w http.ResponseWriter, stream infra.Stream) bool {
 	control := http.NewResponseController(w)
 	if control.Flush() != nil {
@@ -75,14 +76,14 @@
 func (e *Engine) serveCancel(w http.ResponseWriter, r *http.Request) {
 	var body infra.CancelBody
 	if readJSON(w, r, &body) {
-		answer(w, e.cancel(r.Context(), body.Attempt))
+		writeResult(w, e.cancel(r.Context(), body.Attempt))
 	}
 }
 
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order infra.Order
 	if readJSON(w, r, &order) {
-		answer(w, e.order(r.Context(), order))
+		writeResult(w, e.order(r.Context(), order))
 	}
 }
 
@@ -98,7 +99,7 @@
 func (e *Engine) serveCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, err := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	if err != nil {
-		writeError(w, refusal("engine.cache_events", "", infra.ReasonBadRequest), infra.Batch{})
+		writeError(w, refusalError("engine.cache_events", "", infra.ReasonBadRequest), infra.Batch{})
 		return
 	}
 	events, err := e.cacheEvents(r.Context(), after)
--- a/standin/engine_memory.go
+++ b/standin/engine_memory.go
@@ -10,19 +10,19 @@
 	"greengageferry/infra"
 )
 
-// reloadPause is how long a load waits after the store failed it.
-const reloadPause = time.Second
+// fetchRetryDelay is the delay before a failed fetch from the store is retried.
+const fetchRetryDelay = time.Second
 
-// residentItem is an item that takes memory.
+// residentItem is an item that occupies memory.
 type residentItem struct {
-	item  infra.Item
-	state infra.ItemState
-	users int // requests that run on it
-	stop  context.CancelFunc
+	item       infra.Item
+	state      infra.ItemState
+	users      int // queued and running requests that use the item
+	cancelLoad context.CancelFunc
 }
 
-// residents lists the items, sorted. The caller holds mu.
-func (e *Engine) residents() []infra.ResidentItem {
+// residentItems returns the items in memory, sorted by key. The caller holds mu.
+func (e *Engine) residentItems() []infra.ResidentItem {
 	var list []infra.ResidentItem
 	for _, r := range e.items {
 		list = append(list, infra.ResidentItem{Item: r.item, State: r.state})
@@ -33,36 +33,37 @@
 	return list
 }
 
-// used returns the memory that is taken, in MiB. The caller holds mu.
-func (e *Engine) used() int64 {
-	var used int64
+// usedMiB returns the memory in use, in MiB. The caller holds mu.
+func (e *Engine) usedMiB() int64 {
+	var usedMiB int64
 	for _, r := range e.items {
-		used += r.item.MiB
+		usedMiB += r.item.MiB
 	}
-	return used
+	return usedMiB
 }
 
 // order implements infra.Engine's Order for one server.
 func (e *Engine) order(ctx context.Context, order infra.Order) error {
 	const op = "engine.order"
-	return e.Faults.do(ctx, op, e.options.ID, func() error {
+	return e.Faults.inject(ctx, op, e.options.ID, func() error {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if err := e.down(op); err != nil {
+		if err := e.checkUp(op); err != nil {
 			return err
 		}
-		err := e.carryOut(order)
-		e.truth.ordered(order, err)
+		err := e.executeOrder(order)
+		e.truth.addOrder(order, err)
 		return err
 	})
 }
 
-// carryOut does an order. The caller holds mu.
-func (e *Engine) carryOut(order infra.Order) error {
+// executeOrder executes an order unless its fencing number is stale. The caller
+// holds mu.
+func (e *Engine) executeOrder(order infra.Order) error {
 	const op = "engine.order"
 	if !e.options.IgnoresFence {
 		if order.Fence < e.fence {
-			return refusal(op, e.options.ID, infra.ReasonStaleFence)
+			return refusalError(op, e.options.ID, infra.ReasonStaleFence)
 		}
 		e.fence = order.Fence
 	}
@@ -75,37 +76,38 @@
 		e.beginUnload(order.Item.Key())
 		return nil
 	}
-	return refusal(op, e.options.ID, infra.ReasonBadRequest)
+	return refusalError(op, e.options.ID, infra.ReasonBadRequest)
 }
 
-// beginLoad gives the item its memory, or refuses it. The caller holds mu.
+// beginLoad reserves the item's memory and starts to load it, or refuses if the
+// item does not fit. The caller holds mu.
 func (e *Engine) beginLoad(item infra.Item) error {
 	const op = "engine.order"
 	if r := e.items[item.Key()]; r != nil {
 		if r.state == infra.ItemUnloading {
-			return refusal(op, e.options.ID, infra.ReasonOverloaded)
+			return refusalError(op, e.options.ID, infra.ReasonOverloaded)
 		}
 		return nil
 	}
-	if used := e.used(); used+item.MiB > e.options.MemoryMiB {
-		e.truth.violated(ViolationOvercommit, fmt.Sprintf("load of %v (%d MiB) with %d of %d MiB taken", item.Key(), item.MiB, used, e.options.MemoryMiB))
-		return refusal(op, e.options.ID, infra.ReasonNoMemory)
+	if usedMiB := e.usedMiB(); usedMiB+item.MiB > e.options.MemoryMiB {
+		e.truth.addViolation(ViolationOvercommit, fmt.Sprintf("load of %v (%d MiB) with %d of %d MiB taken", item.Key(), item.MiB, usedMiB, e.options.MemoryMiB))
+		return refusalError(op, e.options.ID, infra.ReasonNoMemory)
 	}
-	ctx, stop := context.WithCancel(e.boot)
-	r := &residentItem{item: item, state: infra.ItemLoading, stop: stop}
+	ctx, cancelLoad := context.WithCancel(e.processCtx)
+	r := &residentItem{item: item, state: infra.ItemLoading, cancelLoad: cancelLoad}
 	e.items[item.Key()] = r
-	e.truth.peak(e.used())
-	e.loads.Go(func() { e.runLoad(ctx, r) })
+	e.truth.updatePeak(e.usedMiB())
+	e.loadTasks.Go(func() { e.runLoad(ctx, r) })
 	return nil
 }
 
-// runLoad fetches an item's weights until that works or ctx ends.
+// runLoad fetches the item's weights, retrying until the fetch succeeds or ctx ends.
 func (e *Engine) runLoad(ctx context.Context, r *residentItem) {
 	for e.options.Store != nil {
 		if e.options.Store.Fetch(ctx, e.options.Partner, r.item.MiB) == nil {
 			break
 		}
-		if sleep(ctx, reloadPause) != nil {
+		if sleep(ctx, fetchRetryDelay) != nil {
 			return
 		}
 	}
@@ -113,41 +115,40 @@
 	defer e.mu.Unlock()
 	if ctx.Err() == nil && r.state == infra.ItemLoading {
 		r.state = infra.ItemReady
-		e.truth.loaded()
+		e.truth.countLoad()
 	}
 }
 
-// beginUnload starts to drop an item. Its memory is taken until the requests
-// that run on it have ended and the unloading is done. The caller holds mu.
+// beginUnload starts to unload an item. The item occupies its memory until the
+// requests that use it have ended and UnloadTime has passed. The caller holds mu.
 func (e *Engine) beginUnload(key infra.Key) {
 	r := e.items[key]
 	if r == nil || r.state == infra.ItemUnloading {
 		return
 	}
-	r.stop()
+	r.cancelLoad()
 	r.state = infra.ItemUnloading
-	e.truth.unloaded()
+	e.truth.countUnload()
 	if r.users == 0 {
 		e.finishUnload(r)
 	}
 }
 
-// finishUnload frees an item's memory after the time that it takes. The caller
-// holds mu.
+// finishUnload frees the item's memory after UnloadTime. The caller holds mu.
 func (e *Engine) finishUnload(r *residentItem) {
-	boot := e.boot
+	processCtx := e.processCtx
 	time.AfterFunc(e.options.UnloadTime, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		if boot.Err() == nil {
+		if processCtx.Err() == nil {
 			delete(e.items, r.item.Key())
 		}
 	})
 }
 
-// ready returns the items that a request needs if all can serve. The caller
-// holds mu.
-func (e *Engine) ready(req infra.GenerateRequest) ([]*residentItem, bool) {
+// readyItems returns the items that a request needs and whether all are ready. An
+// adapter needs any ready version of its model. The caller holds mu.
+func (e *Engine) readyItems(req infra.GenerateRequest) ([]*residentItem, bool) {
 	if req.Adapter == "" {
 		r := e.items[infra.Key{Model: req.Model, Version: req.Version}]
 		return []*residentItem{r}, r != nil && r.state == infra.ItemReady
@@ -164,7 +165,8 @@
 	return nil, false
 }
 
-// release ends a request's use of its items. The caller holds mu.
+// release ends a request's use of its items, and finishes an unload that waited
+// for the request. The caller holds mu.
 func (e *Engine) release(items []*residentItem) {
 	for _, r := range items {
 		r.users--
--- a/standin/engine_stream.go
+++ b/standin/engine_stream.go
@@ -8,34 +8,35 @@
 	"greengageferry/infra"
 )
 
-// Pieces is what becomes of one event of a stream.
-type Pieces struct {
-	Send  []infra.Event // sent in its place, in order; none: it is dropped
-	Delay time.Duration // before it is sent
-	Cut   bool          // the stream breaks after them
+// EventFault says what is sent in place of one event of a stream.
+type EventFault struct {
+	Send  []infra.Event // sent in place of the event, in order; empty: the event is dropped
+	Delay time.Duration // before Send
+	Cut   bool          // the stream breaks after Send
 }
 
-// PieceHook says what becomes of each event of each stream. Calls for one
-// stream come in its order; those for several are concurrent. With what it
-// keeps between calls it can reorder, repeat or mix events.
-type PieceHook func(e infra.Event) Pieces
+// EventFaultHook returns the fault for an event. It is called for each event of each
+// stream: in order within a stream, and concurrently for several streams. A hook
+// that keeps events between calls can reorder, repeat or mix them.
+type EventFaultHook func(e infra.Event) EventFault
 
-// Keep sends the event as it is.
-func Keep(e infra.Event) Pieces { return Pieces{Send: []infra.Event{e}} }
+// Unchanged returns the EventFault that sends the event as it is.
+func Unchanged(e infra.Event) EventFault { return EventFault{Send: []infra.Event{e}} }
 
-// engineStream reads one attempt's events.
+// engineStream is the stream of one attempt's events. It implements infra.Stream.
 type engineStream struct {
 	ctx     context.Context
 	engine  *Engine
 	attempt *attempt
 	pending []infra.Event
-	end     error // what Recv returns once pending is empty; nil while it runs
+	end     error // returned by Recv once pending is empty; nil while the stream runs
 	unwatch func() bool
 }
 
 var _ infra.Stream = (*engineStream)(nil)
 
-// newEngineStream returns a stream that cancels the attempt when ctx ends.
+// newEngineStream returns the attempt's stream. The attempt is canceled when ctx
+// ends.
 func newEngineStream(ctx context.Context, e *Engine, a *attempt) *engineStream {
 	s := &engineStream{ctx: ctx, engine: e, attempt: a}
 	s.unwatch = context.AfterFunc(ctx, s.cancel)
@@ -59,29 +60,30 @@
 	return event, nil
 }
 
-// fill takes the next event from the engine through the hook.
+// fill receives the next event from the engine and applies the fault hook.
 func (s *engineStream) fill() {
 	var event infra.Event
 	select {
-	case event = <-s.attempt.out:
-	case <-s.attempt.gone:
-		s.fail(lost("engine.generate", s.engine.options.ID))
+	case event = <-s.attempt.events:
+	case <-s.attempt.aborted:
+		s.fail(connectionBrokenError("engine.generate", s.engine.options.ID))
 		return
 	case <-s.ctx.Done():
 		s.fail(contextError(s.ctx, "engine.generate", s.engine.options.ID, infra.EffectUnknown))
 		return
 	}
-	pieces := s.engine.piecesOf(event)
-	if sleep(s.ctx, pieces.Delay) != nil {
+	fault := s.engine.eventFault(event)
+	if sleep(s.ctx, fault.Delay) != nil {
 		s.fail(contextError(s.ctx, "engine.generate", s.engine.options.ID, infra.EffectUnknown))
 		return
 	}
-	s.pending = pieces.Send
-	if pieces.Cut || event.Finish != "" {
-		s.fail(lost("engine.generate", s.engine.options.ID))
+	s.pending = fault.Send
+	if fault.Cut || event.Finish != "" {
+		s.fail(connectionBrokenError("engine.generate", s.engine.options.ID))
 	}
 }
 
+// fail makes err the end of the stream and cancels the attempt.
 func (s *engineStream) fail(err error) {
 	s.end = err
 	s.cancel()
@@ -100,12 +102,13 @@
 	s.engine.endAttempt(s.attempt, EndCanceled)
 }
 
-func (e *Engine) piecesOf(event infra.Event) Pieces {
+// eventFault returns what the hook makes of an event.
+func (e *Engine) eventFault(event infra.Event) EventFault {
 	e.mu.Lock()
-	hook := e.pieces
+	hook := e.eventFaults
 	e.mu.Unlock()
 	if hook == nil {
-		return Keep(event)
+		return Unchanged(event)
 	}
 	return hook(event)
 }
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -24,7 +24,7 @@
 	require.Equal(t, effect, e.Effect, "%v", err)
 }
 
-func generate(t *testing.T, engines *Engines, req infra.GenerateRequest) infra.Stream {
+func generate(t *testing.T, engines *LocalEngines, req infra.GenerateRequest) infra.Stream {
 	t.Helper()
 	s, err := engines.Generate(t.Context(), "s", req)
 	require.NoError(t, err)
@@ -32,7 +32,7 @@
 	return s
 }
 
-func TestEngineGoesOnAfterAPrefix(t *testing.T) {
+func TestEngineContinuesAfterPrefix(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines := runEngine(t, EngineOptions{ID: "s"})
 		load(t, engines, planner, 1)
@@ -49,11 +49,11 @@
 
 		req.Attempt, req.Prefix = "a2", []string{"x"}
 		generate(t, engines, req)
-		require.Equal(t, ViolationPrefix, e.Truth().Violations[0].Kind)
+		require.Equal(t, ViolationWrongPrefix, e.Truth().Violations[0].Kind)
 	})
 }
 
-func TestEngineBoundsAnswers(t *testing.T) {
+func TestEngineLimitsAnswerLength(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, engines := runEngine(t, EngineOptions{ID: "s"})
 		load(t, engines, planner, 1)
@@ -75,7 +75,7 @@
 	})
 }
 
-func TestEngineRefusesBeforeItStarts(t *testing.T) {
+func TestEngineRefusesRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines := runEngine(t, EngineOptions{ID: "s", Slots: 1, MaxWaiting: 1})
 		refused := func(reason infra.Reason, req infra.GenerateRequest) {
@@ -90,7 +90,7 @@
 		refused(infra.ReasonNotResident, other)
 		refused(infra.ReasonBadRequest, infra.GenerateRequest{Attempt: "a3"})
 		generate(t, engines, request("a4", "x"))
-		synctest.Wait() // it joins the batch
+		synctest.Wait() // the request joins the batch
 		generate(t, engines, request("a5", "x"))
 		refused(infra.ReasonOverloaded, request("a6", "x"))
 		e.SetLeaving(true)
@@ -100,7 +100,7 @@
 	})
 }
 
-func TestEngineServesAnAdapterBesideItsModel(t *testing.T) {
+func TestEngineAdapterRequiresModel(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, engines := runEngine(t, EngineOptions{ID: "s"})
 		load(t, engines, infra.Item{Model: planner.Model, Adapter: "kosher", Version: "k1", MiB: 5}, 1)
@@ -114,13 +114,13 @@
 	})
 }
 
-func TestEngineFreesTheSlotOfACanceledRequest(t *testing.T) {
-	for name, cancel := range map[string]func(s infra.Stream, engines *Engines, stop context.CancelFunc){
-		"close": func(s infra.Stream, _ *Engines, _ context.CancelFunc) { s.Close() },
-		"cancel": func(_ infra.Stream, engines *Engines, _ context.CancelFunc) {
+func TestEngineFreesSlotOnCancel(t *testing.T) {
+	for name, cancel := range map[string]func(s infra.Stream, engines *LocalEngines, stop context.CancelFunc){
+		"close": func(s infra.Stream, _ *LocalEngines, _ context.CancelFunc) { s.Close() },
+		"cancel": func(_ infra.Stream, engines *LocalEngines, _ context.CancelFunc) {
 			_ = engines.Cancel(context.Background(), "s", "a1")
 		},
-		"context": func(_ infra.Stream, _ *Engines, stop context.CancelFunc) { stop() },
+		"context": func(_ infra.Stream, _ *LocalEngines, stop context.CancelFunc) { stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestEngineHoldsUpForASlowReader reads nothing of a stream: it must neither
-// grow nor hold up another.
-func TestEngineHoldsUpForASlowReader(t *testing.T) {
+// TestSlowReaderPausesOnlyItsRequest leaves a stream unread. The unread stream must
+// not buffer without limit or delay another stream.
+func TestSlowReaderPausesOnlyItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines := runEngine(t, EngineOptions{ID: "s"})
 		load(t, engines, planner, 1)
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestEngineTakesTheHighestPriorityFirst(t *testing.T) {
+func TestEnginePriorityOrder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines := runEngine(t, EngineOptions{ID: "s", Slots: 1})
 		load(t, engines, planner, 1)
@@ -187,35 +187,35 @@
 	})
 }
 
-func TestEngineStepGrowsWithItsBatch(t *testing.T) {
-	took := func(requests int, slow float64) time.Duration {
-		var took time.Duration
+func TestStepTimeGrowsWithBatch(t *testing.T) {
+	elapsed := func(requests int, slow float64) time.Duration {
+		var elapsed time.Duration
 		synctest.Test(t, func(t *testing.T) {
 			e, engines := runEngine(t, EngineOptions{ID: "s"})
 			load(t, engines, planner, 1)
-			e.SetSlow(slow)
+			e.SetSlowdown(slow)
 			start := time.Now()
 			var streams []infra.Stream
 			for i := range requests {
 				req := request(fmt.Sprint("a", i), "x")
-				req.MaxTokens = streamBuffer / 2 // none waits for its reader
+				req.MaxTokens = streamBuffer / 2 // no request waits for its reader
 				streams = append(streams, generate(t, engines, req))
 			}
 			for _, s := range streams {
 				_, err := readAll(s)
 				require.NoError(t, err)
 			}
-			took = time.Since(start)
+			elapsed = time.Since(start)
 		})
-		return took
+		return elapsed
 	}
-	one, eight, slow := took(1, 1), took(8, 1), took(1, 4)
+	one, eight, slow := elapsed(1, 1), elapsed(8, 1), elapsed(1, 4)
 	require.Greater(t, eight, one)
 	require.Less(t, eight, 2*one)
 	require.Equal(t, 4*one, slow)
 }
 
-func TestEnginePrefillIsShorterForACachedPrefix(t *testing.T) {
+func TestCachedPrefixShortensPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		_, engines := runEngine(t, EngineOptions{ID: "s", CachePrefixes: 1, CacheLag: time.Second})
 		load(t, engines, planner, 1)
@@ -224,10 +224,10 @@
 			s := generate(t, engines, request(attempt, prompt))
 			_, err := s.Recv()
 			require.NoError(t, err)
-			took := time.Since(start)
+			elapsed := time.Since(start)
 			_, err = readAll(s)
 			require.NoError(t, err)
-			return took
+			return elapsed
 		}
 		prompt := strings.Repeat("p", infra.PrefixBytes)
 		cold := first("a1", prompt+"1")
@@ -245,7 +245,7 @@
 	})
 }
 
-func TestEngineDiesOfPoison(t *testing.T) {
+func TestPoisonCrashesEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines := runEngine(t, EngineOptions{ID: "s", RestartTime: time.Minute})
 		load(t, engines, planner, 9)
@@ -268,39 +268,42 @@
 		require.Empty(t, after.Items)
 		require.Zero(t, after.Fence)
 		require.Equal(t, EndCrashed, e.Truth().Runs[1].End)
-		require.Equal(t, []string{"crashed"}, e.Truth().Stops)
+		require.Equal(t, []string{"crashed"}, e.Truth().StopReasons)
 		load(t, engines, planner, 9)
 		_, err = readAll(generate(t, engines, request("a3", "x")))
 		require.NoError(t, err)
 	})
 }
 
-// TestPieceFaults drops, delays, reorders, repeats, cuts and mixes up events.
-func TestPieceFaults(t *testing.T) {
+// TestEventFaults drops, delays, reorders and repeats events, inserts one of another
+// attempt, and cuts the stream.
+func TestEventFaults(t *testing.T) {
 	stray := infra.Event{Attempt: "another", Index: 1, Token: "stray "}
 	var held infra.Event
 	for name, c := range map[string]struct {
-		hook  PieceHook
-		index []int // of the first events received; -1 is the stray one
+		hook  EventFaultHook
+		index []int // indexes of the first events received; -1: the event of another attempt
 	}{
-		"drop":   {func(e infra.Event) Pieces { return at(e, 1, Pieces{}) }, []int{0, 2, 3}},
-		"repeat": {func(e infra.Event) Pieces { return at(e, 1, Pieces{Send: []infra.Event{e, e}}) }, []int{0, 1, 1, 2}},
-		"stray":  {func(e infra.Event) Pieces { return at(e, 1, Pieces{Send: []infra.Event{stray, e}}) }, []int{0, -1, 1, 2}},
-		"delay":  {func(e infra.Event) Pieces { return at(e, 1, Pieces{Send: []infra.Event{e}, Delay: time.Minute}) }, []int{0, 1, 2}},
-		"reorder": {func(e infra.Event) Pieces {
+		"drop":   {func(e infra.Event) EventFault { return faultAt(e, 1, EventFault{}) }, []int{0, 2, 3}},
+		"repeat": {func(e infra.Event) EventFault { return faultAt(e, 1, EventFault{Send: []infra.Event{e, e}}) }, []int{0, 1, 1, 2}},
+		"stray":  {func(e infra.Event) EventFault { return faultAt(e, 1, EventFault{Send: []infra.Event{stray, e}}) }, []int{0, -1, 1, 2}},
+		"delay": {func(e infra.Event) EventFault {
+			return faultAt(e, 1, EventFault{Send: []infra.Event{e}, Delay: time.Minute})
+		}, []int{0, 1, 2}},
+		"reorder": {func(e infra.Event) EventFault {
 			if e.Index == 1 {
 				held = e
-				return Pieces{}
+				return EventFault{}
 			}
-			return at(e, 2, Pieces{Send: []infra.Event{e, held}})
+			return faultAt(e, 2, EventFault{Send: []infra.Event{e, held}})
 		}, []int{0, 2, 1, 3}},
-		"cut": {func(e infra.Event) Pieces { return at(e, 1, Pieces{Cut: true}) }, []int{0}},
+		"cut": {func(e infra.Event) EventFault { return faultAt(e, 1, EventFault{Cut: true}) }, []int{0}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				e, engines := runEngine(t, EngineOptions{ID: "s"})
 				load(t, engines, planner, 1)
-				e.SetPieces(c.hook)
+				e.SetEventFaults(c.hook)
 				s := generate(t, engines, request("a1", "x"))
 				for _, index := range c.index {
 					event, err := s.Recv()
@@ -320,10 +323,10 @@
 	}
 }
 
-// at returns the pieces for the event with the index, and keeps all others.
-func at(e infra.Event, index int, p Pieces) Pieces {
+// faultAt returns the fault f for the event with the index, and no fault for others.
+func faultAt(e infra.Event, index int, p EventFault) EventFault {
 	if e.Index == index {
 		return p
 	}
-	return Keep(e)
+	return Unchanged(e)
 }
--- a/standin/engine_truth.go
+++ b/standin/engine_truth.go
@@ -9,116 +9,117 @@
 	"greengageferry/infra"
 )
 
-// maxTruth bounds each list of an engine's truth; what is over it is counted.
-const maxTruth = 1 << 18
+// maxTruthEntries limits each list of recorded entries. An engine counts the entries
+// over the limit; a service drops them.
+const maxTruthEntries = 1 << 18
 
-// RunEnd says how a run of a request ended at an engine.
+// RunEnd says how an engine's run of a request ended.
 type RunEnd string
 
 // The ends of runs.
 const (
-	EndRunning  RunEnd = ""         // it has not ended
-	EndComplete RunEnd = "complete" // its Finish went out
-	EndCanceled RunEnd = "canceled" // its caller canceled it or closed its stream
+	EndRunning  RunEnd = ""         // the run has not ended
+	EndComplete RunEnd = "complete" // the Finish was generated
+	EndCanceled RunEnd = "canceled" // the client canceled the attempt or closed its stream
 	EndCrashed  RunEnd = "crashed"  // the process died
 )
 
-// Run is one request that an engine accepted.
+// Run describes one request that an engine accepted.
 type Run struct {
 	Attempt, Model, Adapter, Version string
 
-	Prompt   uint64 // PromptHash of the prompt
-	Seed     uint64
-	From     int // length of the prefix
-	Boot     int // the process that ran it, from 1
-	Accepted time.Time
-	Started  time.Time // when it joined the batch; zero: it never did
-	Ended    time.Time
-	Tokens   int // generated
-	End      RunEnd
+	Prompt       uint64 // from the function PromptHash
+	Seed         uint64
+	PrefixTokens int // length of the request's prefix, in tokens
+	Boot         int // number of the process that ran the request, from 1
+	Accepted     time.Time
+	Started      time.Time // when the request joined the batch; zero: never
+	Ended        time.Time
+	Tokens       int // number of generated tokens
+	End          RunEnd
 }
 
-// PromptHash identifies a prompt in a Run.
+// PromptHash returns the hash that identifies a prompt in a Run.
 func PromptHash(prompt string) uint64 { return xxhash.Sum64String(prompt) }
 
-// Refusal is a request that an engine refused before starting it.
+// Refusal describes a request that an engine refused before starting it.
 type Refusal struct {
 	Attempt string
 	Reason  infra.Reason
 	At      time.Time
 }
 
-// OrderTaken is an order that reached an engine.
-type OrderTaken struct {
+// ReceivedOrder describes an order that reached an engine.
+type ReceivedOrder struct {
 	Order   infra.Order
 	At      time.Time
-	Refused infra.Reason // empty: it was carried out
+	Refused infra.Reason // empty: the order was executed
 }
 
-// ViolationKind classes what an engine must never be asked.
+// ViolationKind classifies a Violation.
 type ViolationKind string
 
 // The kinds of violations.
 const (
-	ViolationOvercommit ViolationKind = "overcommit"       // a load that doesn't fit
-	ViolationAttempt    ViolationKind = "attempt_repeated" // an attempt's id for a second request
-	ViolationPrefix     ViolationKind = "wrong_prefix"     // a prefix that is not of this answer
+	ViolationOvercommit      ViolationKind = "overcommit"       // a load that does not fit in memory
+	ViolationRepeatedAttempt ViolationKind = "attempt_repeated" // an attempt id that another unfinished request has
+	ViolationWrongPrefix     ViolationKind = "wrong_prefix"     // a prefix that differs from the expected answer
 )
 
-// Violation is something that an engine must never be asked, and was.
+// Violation describes a call to an engine that the system must never make.
 type Violation struct {
 	Kind   ViolationKind
 	Detail string
 	At     time.Time
 }
 
-// EngineTruth is what an engine did.
+// EngineTruth is the record of what an engine did.
 type EngineTruth struct {
-	ID         string
-	MemoryMiB  int64
-	PeakMiB    int64 // most memory that was ever taken
-	Runs       []Run
-	Refusals   []Refusal
-	Orders     []OrderTaken
-	Violations []Violation
-	Stops      []string  // why the process ended, each time
-	LeavingAt  time.Time // since when it is leaving; zero: it isn't
-	Loads      int       // that became ready
-	Unloads    int
-	Dropped    int // entries over the bound of these lists
+	ID             string
+	MemoryMiB      int64
+	PeakMiB        int64 // peak memory use
+	Runs           []Run
+	Refusals       []Refusal
+	Orders         []ReceivedOrder
+	Violations     []Violation
+	StopReasons    []string  // why the process ended; one entry each time
+	LeavingSince   time.Time // when the engine began to leave; zero: it is not leaving
+	Loads          int       // number of items that became ready
+	Unloads        int       // number of unloads begun
+	DroppedEntries int       // number of entries over the limit of the lists
 }
 
-// engineTruth is the record behind EngineTruth. The engine's mu guards it.
+// engineTruth collects the data of EngineTruth. The engine's mu guards it.
 type engineTruth struct {
-	limit      int
-	runs       []*Run
-	refusals   []Refusal
-	orders     []OrderTaken
-	violations []Violation
-	stops      []string
-	peakMiB    int64
-	leavingAt  time.Time
-	loads      int
-	unloads    int
-	dropped    int
+	limit          int
+	runs           []*Run
+	refusals       []Refusal
+	orders         []ReceivedOrder
+	violations     []Violation
+	stopReasons    []string
+	peakMiB        int64
+	leavingSince   time.Time
+	loads          int
+	unloads        int
+	droppedEntries int
 }
 
-// Truth returns what the engine did.
+// Truth returns the record of what the engine did.
 func (e *Engine) Truth() EngineTruth {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	t := EngineTruth{
-		ID:         e.options.ID,
-		MemoryMiB:  e.options.MemoryMiB,
-		PeakMiB:    e.truth.peakMiB,
-		Refusals:   slices.Clone(e.truth.refusals),
-		Orders:     slices.Clone(e.truth.orders),
-		Violations: slices.Clone(e.truth.violations),
-		Stops:      slices.Clone(e.truth.stops),
-		LeavingAt:  e.truth.leavingAt,
-		Loads:      e.truth.loads,
-		Unloads:    e.truth.unloads,
-		Dropped:    e.truth.dropped,
+		ID:             e.options.ID,
+		MemoryMiB:      e.options.MemoryMiB,
+		PeakMiB:        e.truth.peakMiB,
+		Refusals:       slices.Clone(e.truth.refusals),
+		Orders:         slices.Clone(e.truth.orders),
+		Violations:     slices.Clone(e.truth.violations),
+		StopReasons:    slices.Clone(e.truth.stopReasons),
+		LeavingSince:   e.truth.leavingSince,
+		Loads:          e.truth.loads,
+		Unloads:        e.truth.unloads,
+		DroppedEntries: e.truth.droppedEntries,
 	}
 	for _, r := range e.truth.runs {
 		t.Runs = append(t.Runs, *r)
@@ -126,42 +127,44 @@
 	return t
 }
 
-func (t *engineTruth) run(r *Run) {
-	t.runs = bounded(t, t.runs, r)
+// record adds a run to the list. The run still changes until it ends.
+func (t *engineTruth) record(r *Run) {
+	t.runs = appendBounded(t, t.runs, r)
 }
 
-func (t *engineTruth) refused(attempt string, reason infra.Reason) {
-	t.refusals = bounded(t, t.refusals, Refusal{Attempt: attempt, Reason: reason, At: time.Now()})
+func (t *engineTruth) addRefusal(attempt string, reason infra.Reason) {
+	t.refusals = appendBounded(t, t.refusals, Refusal{Attempt: attempt, Reason: reason, At: time.Now()})
 }
 
-func (t *engineTruth) ordered(order infra.Order, err error) {
-	taken := OrderTaken{Order: order, At: time.Now()}
+func (t *engineTruth) addOrder(order infra.Order, err error) {
+	received := ReceivedOrder{Order: order, At: time.Now()}
 	if e, ok := err.(*infra.Error); ok {
-		taken.Refused = e.Reason
+		received.Refused = e.Reason
 	}
-	t.orders = bounded(t, t.orders, taken)
+	t.orders = appendBounded(t, t.orders, received)
 }
 
-func (t *engineTruth) violated(kind ViolationKind, detail string) {
-	t.violations = bounded(t, t.violations, Violation{Kind: kind, Detail: detail, At: time.Now()})
+func (t *engineTruth) addViolation(kind ViolationKind, detail string) {
+	t.violations = appendBounded(t, t.violations, Violation{Kind: kind, Detail: detail, At: time.Now()})
 }
 
-func (t *engineTruth) stopped(why string) { t.stops = bounded(t, t.stops, why) }
-func (t *engineTruth) peak(mib int64)     { t.peakMiB = max(t.peakMiB, mib) }
-func (t *engineTruth) loaded()            { t.loads++ }
-func (t *engineTruth) unloaded()          { t.unloads++ }
+func (t *engineTruth) addStop(reason string) { t.stopReasons = appendBounded(t, t.stopReasons, reason) }
+func (t *engineTruth) updatePeak(mib int64)  { t.peakMiB = max(t.peakMiB, mib) }
+func (t *engineTruth) countLoad()            { t.loads++ }
+func (t *engineTruth) countUnload()          { t.unloads++ }
 
-func (t *engineTruth) left(leaving bool) {
-	t.leavingAt = time.Time{}
+func (t *engineTruth) setLeaving(leaving bool) {
+	t.leavingSince = time.Time{}
 	if leaving {
-		t.leavingAt = time.Now()
+		t.leavingSince = time.Now()
 	}
 }
 
-// bounded appends to a list, or counts what is over its bound.
-func bounded[T any](t *engineTruth, list []T, v T) []T {
+// appendBounded returns the list with v appended. If the list is at its limit, it
+// counts v as dropped instead.
+func appendBounded[T any](t *engineTruth, list []T, v T) []T {
 	if len(list) >= t.limit {
-		t.dropped++
+		t.droppedEntries++
 		return list
 	}
 	return append(list, v)
--- a/standin/fault.go
+++ b/standin/fault.go
@@ -9,23 +9,23 @@
 	"greengageferry/infra"
 )
 
-// Fault is what befalls one call to a stand-in. The zero Fault is none.
+// Fault describes the fault of one call to a fake. The zero Fault is no fault.
 type Fault struct {
-	Delay      time.Duration // before the call is carried out; its caller waits
-	Refused    bool          // the stand-in says that it is out, and does nothing
-	Lost       bool          // never carried out, and the connection breaks
-	AnswerLost bool          // carried out, then the connection breaks
-	Late       time.Duration // the connection breaks at once, and the call is carried out this much later
-	Copies     int           // carried out this many times more, CopyAfter apart
-	CopyAfter  time.Duration
+	Delay          time.Duration // before anything else; the client waits
+	Unavailable    bool          // the call fails with ReasonUnavailable and is not executed
+	RequestLost    bool          // the connection breaks and the call is not executed
+	AnswerLost     bool          // the call is executed, then the connection breaks
+	RunAfterBreak  time.Duration // the connection breaks at once and the call is executed this much later
+	Repeats        int           // the call is executed this many more times, RepeatInterval apart
+	RepeatInterval time.Duration
 }
 
-// FaultHook says what befalls the nth call (from 1) of an operation since the
-// hook was set. Operations are named as in infra.Error, such as "log.append".
+// FaultHook returns the fault for the nth call of an operation since the hook was
+// set, with n from 1. Operations are named as in infra.Error, such as "log.append".
 type FaultHook func(op string, n int) Fault
 
-// Always returns a hook that gives each call of the named operations the fault;
-// with no names, each call of any.
+// Always returns a hook that injects the fault into every call of the named
+// operations, or of all operations if none is named.
 func Always(f Fault, ops ...string) FaultHook {
 	return func(op string, _ int) Fault {
 		if len(ops) == 0 {
@@ -40,7 +40,8 @@
 	}
 }
 
-// First returns a hook that gives the first n calls of the operation the fault.
+// First returns a hook that injects the fault into the first n calls of the
+// operation.
 func First(n int, f Fault, op string) FaultHook {
 	return func(o string, i int) Fault {
 		if o == op && i <= n {
@@ -50,14 +51,15 @@
 	}
 }
 
-// Faults holds a stand-in's fault hook. The zero value has none.
+// Faults holds a fake's fault hook. The zero value has no hook.
 type Faults struct {
 	mu     sync.Mutex
 	hook   FaultHook
 	counts map[string]int
 }
 
-// Set replaces the hook; nil ends all faults. Calls are counted from 1 again.
+// Set replaces the hook and restarts the count of calls at 1. A nil hook ends all
+// faults.
 func (f *Faults) Set(hook FaultHook) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -65,7 +67,8 @@
 	f.counts = map[string]int{}
 }
 
-func (f *Faults) next(op string) Fault {
+// nextFault counts a call of the operation and returns its fault.
+func (f *Faults) nextFault(op string) Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.hook == nil {
@@ -75,42 +78,43 @@
 	return f.hook(op, f.counts[op])
 }
 
-// do carries out an action under the operation's next fault.
-func (f *Faults) do(ctx context.Context, op, addr string, action func() error) error {
-	fault := f.next(op)
+// inject executes the action subject to the operation's next fault.
+func (f *Faults) inject(ctx context.Context, op, addr string, action func() error) error {
+	fault := f.nextFault(op)
 	if err := sleep(ctx, fault.Delay); err != nil {
 		return contextError(ctx, op, addr, infra.EffectNone)
 	}
 	switch {
-	case fault.Refused:
+	case fault.Unavailable:
 		return &infra.Error{Op: op, Addr: addr, Reason: infra.ReasonUnavailable, Effect: infra.EffectNone}
-	case fault.Lost:
-		return lost(op, addr)
-	case fault.Late > 0:
-		time.AfterFunc(fault.Late, func() { _ = action() })
-		return lost(op, addr)
+	case fault.RequestLost:
+		return connectionBrokenError(op, addr)
+	case fault.RunAfterBreak > 0:
+		time.AfterFunc(fault.RunAfterBreak, func() { _ = action() })
+		return connectionBrokenError(op, addr)
 	}
 	err := action()
-	for i := range fault.Copies {
-		time.AfterFunc(time.Duration(i+1)*fault.CopyAfter, func() { _ = action() })
+	for i := range fault.Repeats {
+		time.AfterFunc(time.Duration(i+1)*fault.RepeatInterval, func() { _ = action() })
 	}
 	if fault.AnswerLost {
-		return lost(op, addr)
+		return connectionBrokenError(op, addr)
 	}
 	return err
 }
 
-// LostError is the cause of an Error where a stand-in broke the connection.
-type LostError struct{}
+// ConnectionBrokenError is the cause of an infra.Error when a fake broke the
+// connection.
+type ConnectionBrokenError struct{}
 
 // Error implements error.
-func (*LostError) Error() string { return "the stand-in broke the connection" }
+func (*ConnectionBrokenError) Error() string { return "the fake broke the connection" }
 
-func lost(op, addr string) *infra.Error {
-	return &infra.Error{Op: op, Addr: addr, Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown, Err: &LostError{}}
+func connectionBrokenError(op, addr string) *infra.Error {
+	return &infra.Error{Op: op, Addr: addr, Reason: infra.ReasonUnreachable, Effect: infra.EffectUnknown, Err: &ConnectionBrokenError{}}
 }
 
-func refusal(op, addr string, reason infra.Reason) *infra.Error {
+func refusalError(op, addr string, reason infra.Reason) *infra.Error {
 	return &infra.Error{Op: op, Addr: addr, Reason: reason, Effect: infra.EffectNone}
 }
 
@@ -122,7 +126,7 @@
 	return &infra.Error{Op: op, Addr: addr, Reason: reason, Effect: effect, Err: ctx.Err()}
 }
 
-// sleep waits, or returns the context's error if that ends first.
+// sleep waits for d, or returns the context's error if ctx ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
@@ -137,8 +141,8 @@
 	}
 }
 
-// statusOf returns the HTTP status for a refusal's reason.
-func statusOf(reason infra.Reason) int {
+// httpStatus returns the HTTP status code for a refusal's reason.
+func httpStatus(reason infra.Reason) int {
 	switch reason {
 	case infra.ReasonBadRequest:
 		return http.StatusBadRequest
--- a/standin/instances.go
+++ b/standin/instances.go
@@ -17,106 +17,108 @@
 	"greengageferry/infra"
 )
 
-// InstanceList is a stand-in for the platform's list of instances. It lags: a
-// reader sees the list as it was some time ago. Its operation is
-// "instances.list".
+// InstanceList is a fake of the platform's list of instances. Readers see the list
+// as it was some time ago. The operation for Faults is "instances.list".
 //
-// Over HTTP, PUT and DELETE on infra.PathInstances+"/{id}" change it.
+// Over HTTP, PUT and DELETE on infra.PathInstances+"/{id}" change the list.
 type InstanceList struct {
 	Faults Faults
 
 	mux *http.ServeMux
 
-	mu    sync.Mutex
-	lag   time.Duration
-	views []instanceView // oldest first; never empty
+	mu       sync.Mutex
+	lag      time.Duration
+	versions []listVersion // oldest first; never empty
 }
 
 var (
 	_ infra.Instances = (*InstanceList)(nil)
-	_ Standin         = (*InstanceList)(nil)
+	_ Fake            = (*InstanceList)(nil)
 )
 
-// instanceView is the list from a time on, sorted by id. It is immutable.
-type instanceView struct {
-	from time.Time
-	list []infra.Instance
+// listVersion is the list's content since a point in time, sorted by id. It is
+// immutable.
+type listVersion struct {
+	since time.Time
+	list  []infra.Instance
 }
 
-// NewInstanceList returns an empty list that lags by the given time.
+// NewInstanceList returns an empty list that readers see with the given delay.
 func NewInstanceList(lag time.Duration) *InstanceList {
-	l := &InstanceList{lag: lag, mux: http.NewServeMux(), views: []instanceView{{}}}
+	l := &InstanceList{lag: lag, mux: http.NewServeMux(), versions: []listVersion{{}}}
 	l.mux.HandleFunc("GET "+infra.PathInstances, l.serveList)
 	l.mux.HandleFunc("PUT "+infra.PathInstances+"/{id}", l.servePut)
 	l.mux.HandleFunc("DELETE "+infra.PathInstances+"/{id}", l.serveDelete)
 	return l
 }
 
-// Run implements Standin.
-func (l *InstanceList) Run(ctx context.Context) error { return idle(ctx) }
+// Run implements Fake.
+func (l *InstanceList) Run(ctx context.Context) error { return waitDone(ctx) }
 
 // ServeHTTP implements http.Handler.
 func (l *InstanceList) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
 
-// SetLag changes by how much the list lags.
+// SetLag changes the delay with which readers see the list.
 func (l *InstanceList) SetLag(lag time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lag = lag
 }
 
-// Put adds an instance, or replaces the one with its id.
+// Put adds an instance or replaces the one with the same id.
 func (l *InstanceList) Put(instance infra.Instance) {
-	l.change(instance.ID, func(list []infra.Instance) []infra.Instance { return append(list, instance) })
+	l.update(instance.ID, func(list []infra.Instance) []infra.Instance { return append(list, instance) })
 }
 
-// Remove takes an instance off the list.
+// Remove removes an instance from the list.
 func (l *InstanceList) Remove(id string) {
-	l.change(id, func(list []infra.Instance) []infra.Instance { return list })
+	l.update(id, func(list []infra.Instance) []infra.Instance { return list })
 }
 
-// change makes a new view of the list without the id and with what add adds.
-func (l *InstanceList) change(id string, add func([]infra.Instance) []infra.Instance) {
+// update adds a version of the list: the newest one without the instance id, passed
+// through add.
+func (l *InstanceList) update(id string, add func([]infra.Instance) []infra.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []infra.Instance
-	for _, i := range l.views[len(l.views)-1].list {
+	for _, i := range l.versions[len(l.versions)-1].list {
 		if i.ID != id {
 			list = append(list, i)
 		}
 	}
 	list = add(list)
 	slices.SortFunc(list, func(a, b infra.Instance) int { return strings.Compare(a.ID, b.ID) })
-	l.views = append(l.views, instanceView{from: time.Now(), list: list})
+	l.versions = append(l.versions, listVersion{since: time.Now(), list: list})
 	l.prune()
 }
 
-// prune drops the views that are older than the one that readers see.
+// prune drops the versions that are older than the one that readers see. The caller
+// holds mu.
 func (l *InstanceList) prune() {
-	seen := time.Now().Add(-l.lag)
-	for len(l.views) > 1 && !l.views[1].from.After(seen) {
-		l.views = l.views[1:]
+	visible := time.Now().Add(-l.lag)
+	for len(l.versions) > 1 && !l.versions[1].since.After(visible) {
+		l.versions = l.versions[1:]
 	}
 }
 
 // List implements infra.Instances.
 func (l *InstanceList) List(ctx context.Context) ([]infra.Instance, error) {
 	var list []infra.Instance
-	err := l.Faults.do(ctx, "instances.list", "", func() error {
+	err := l.Faults.inject(ctx, "instances.list", "", func() error {
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.prune()
-		list = slices.Clone(l.views[0].list)
+		list = slices.Clone(l.versions[0].list)
 		return nil
 	})
 	return list, err
 }
 
-// Truth returns the list as it is now, without its lag.
+// Truth returns the list as it is now, without the delay.
 func (l *InstanceList) Truth() []infra.Instance {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.views[len(l.views)-1].list)
+	return slices.Clone(l.versions[len(l.versions)-1].list)
 }
 
 func (l *InstanceList) serveList(w http.ResponseWriter, r *http.Request) {
@@ -143,16 +145,16 @@
 	sendCompressed(w, r, data)
 }
 
-// sendCompressed writes the body, compressed for a client that takes it so.
+// sendCompressed writes the body, with gzip if the client accepts that.
 func sendCompressed(w http.ResponseWriter, r *http.Request, data []byte) {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
-		_, _ = w.Write(data) // a reader that has gone needs no answer
+		_, _ = w.Write(data) // fails only if the client has disconnected
 		return
 	}
 	w.Header().Set("Content-Encoding", "gzip")
 	compressed := gzip.NewWriter(w)
 	defer compressed.Close()
-	_, _ = compressed.Write(data) // a reader that has gone needs no answer
+	_, _ = compressed.Write(data) // fails only if the client has disconnected
 }
 
 func (l *InstanceList) servePut(w http.ResponseWriter, r *http.Request) {
--- a/standin/instances_test.go
+++ b/standin/instances_test.go
@@ -12,13 +12,14 @@
 	"greengageferry/infra"
 )
 
-// counted counts the bodies' bytes as they come over the wire.
-type counted struct {
+// byteCounter is an http.RoundTripper that counts the bytes of response bodies
+// without compression.
+type byteCounter struct {
 	next  http.RoundTripper
 	bytes int64
 }
 
-func (c *counted) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *byteCounter) RoundTrip(r *http.Request) (*http.Response, error) {
 	r = r.Clone(r.Context())
 	r.Header.Set("Accept-Encoding", "identity")
 	res, err := c.next.RoundTrip(r)
@@ -32,7 +33,7 @@
 	return res, err
 }
 
-func TestUnchangedListIsNotSentAgain(t *testing.T) {
+func TestUnchangedInstanceListIsNotResent(t *testing.T) {
 	list := NewInstanceList(0)
 	for n := range 100 {
 		list.Put(infra.Instance{ID: fmt.Sprintf("server-%03d", n), Role: infra.RoleEngine, State: infra.StateLive})
@@ -40,7 +41,7 @@
 	server, err := Start("127.0.0.1:0", list)
 	require.NoError(t, err)
 	defer func() { require.NoError(t, server.Close()) }()
-	wire := &counted{next: &http.Transport{DisableKeepAlives: true}}
+	wire := &byteCounter{next: &http.Transport{DisableKeepAlives: true}}
 	client := infra.NewHTTPInstances(server.URL(), &http.Client{Transport: wire})
 
 	first, err := client.List(t.Context())
--- a/standin/log.go
+++ b/standin/log.go
@@ -12,25 +12,27 @@
 	"greengageferry/infra"
 )
 
-// Defaults of the log.
+// Defaults of LogOptions, and limits of reads.
 const (
-	// DefaultAppendsPerSecond is the brief's "several hundred appends a second".
+	// DefaultAppendsPerSecond is the default of LogOptions.AppendsPerSecond. The
+	// platform's log accepts several hundred appends per second.
 	DefaultAppendsPerSecond = 400
-	// DefaultRetention is how long records are kept.
+	// DefaultRetention is the default of LogOptions.Retention.
 	DefaultRetention = 6 * time.Hour
-	// DefaultRetainedRecords bounds a stream's memory.
+	// DefaultRetainedRecords is the default of LogOptions.RetainedRecords. It limits
+	// a stream's memory.
 	DefaultRetainedRecords = 100_000
-	// maxReadBytes bounds a batch; one record is always given.
+	// maxReadBytes limits a batch. A larger first record is still returned.
 	maxReadBytes = 8 << 20
-	// maxReadWait bounds a long poll.
+	// maxReadWait limits how long a read waits for records (long polling).
 	maxReadWait = time.Minute
 )
 
-// LogOptions are a log's settings. Zero values mean the defaults.
+// LogOptions configures a Log. Zero values mean the defaults.
 type LogOptions struct {
-	AppendsPerSecond float64       // above it, appends wait
+	AppendsPerSecond float64       // above this rate, appends wait
 	Retention        time.Duration // how long a record is kept
-	RetainedRecords  int           // how many a stream keeps at most
+	RetainedRecords  int           // maximum number of records that a stream keeps
 	History          bool          // keep all records ever appended, for Truth
 }
 
@@ -47,8 +49,8 @@
 	return o
 }
 
-// Log is a stand-in for the platform's log. Its operations are "log.append"
-// and "log.read".
+// Log is a fake of the platform's log. The operations for Faults are "log.append" and
+// "log.read".
 type Log struct {
 	Faults Faults
 
@@ -63,18 +65,19 @@
 
 var (
 	_ infra.Log = (*Log)(nil)
-	_ Standin   = (*Log)(nil)
+	_ Fake      = (*Log)(nil)
 )
 
-// logStream is one stream: the records that it keeps, and their times.
+// logStream is one stream: the retained records and when each was appended.
 type logStream struct {
 	oldest  infra.Offset
 	data    [][]byte
-	at      []time.Time
-	changed chan struct{} // closed when records arrive
+	times   []time.Time
+	changed chan struct{} // closed and replaced when records are appended
 	history []infra.Record
 }
 
+// next returns the offset that the next record gets.
 func (s *logStream) next() infra.Offset { return s.oldest + infra.Offset(len(s.data)) }
 
 // NewLog returns an empty log.
@@ -91,8 +94,8 @@
 	return l
 }
 
-// Run implements Standin.
-func (l *Log) Run(ctx context.Context) error { return idle(ctx) }
+// Run implements Fake.
+func (l *Log) Run(ctx context.Context) error { return waitDone(ctx) }
 
 // ServeHTTP implements http.Handler.
 func (l *Log) ServeHTTP(w http.ResponseWriter, r *http.Request) { l.mux.ServeHTTP(w, r) }
@@ -101,13 +104,13 @@
 func (l *Log) Append(ctx context.Context, stream string, records [][]byte) (infra.Offset, error) {
 	const op = "log.append"
 	if len(records) == 0 || stream == "" {
-		return 0, refusal(op, "", infra.ReasonBadRequest)
+		return 0, refusalError(op, "", infra.ReasonBadRequest)
 	}
 	if err := l.limiter.Wait(ctx); err != nil {
-		return 0, refusal(op, "", infra.ReasonOverloaded)
+		return 0, refusalError(op, "", infra.ReasonOverloaded)
 	}
 	var offset infra.Offset
-	err := l.Faults.do(ctx, op, "", func() error {
+	err := l.Faults.inject(ctx, op, "", func() error {
 		offset = l.append(stream, records)
 		return nil
 	})
@@ -117,6 +120,7 @@
 	return offset, nil
 }
 
+// append adds the records as one unit and returns the offset of the first.
 func (l *Log) append(stream string, records [][]byte) infra.Offset {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +132,7 @@
 			s.history = append(s.history, infra.Record{Offset: s.next(), Data: data})
 		}
 		s.data = append(s.data, data)
-		s.at = append(s.at, now)
+		s.times = append(s.times, now)
 	}
 	l.appends++
 	l.trim(s)
@@ -137,6 +141,7 @@
 	return first
 }
 
+// stream returns the stream, creating it if necessary. The caller holds mu.
 func (l *Log) stream(name string) *logStream {
 	s := l.streams[name]
 	if s == nil {
@@ -146,18 +151,18 @@
 	return s
 }
 
-// trim drops what is over the count or the age that a stream keeps.
+// trim drops the records that exceed the retained count or age. The caller holds mu.
 func (l *Log) trim(s *logStream) {
 	drop := max(0, len(s.data)-l.options.RetainedRecords)
 	limit := time.Now().Add(-l.options.Retention)
-	for drop < len(s.at) && s.at[drop].Before(limit) {
+	for drop < len(s.times) && s.times[drop].Before(limit) {
 		drop++
 	}
 	if drop == 0 {
 		return
 	}
 	s.data = append([][]byte(nil), s.data[drop:]...)
-	s.at = append([]time.Time(nil), s.at[drop:]...)
+	s.times = append([]time.Time(nil), s.times[drop:]...)
 	s.oldest += infra.Offset(drop)
 }
 
@@ -165,7 +170,7 @@
 func (l *Log) Read(ctx context.Context, stream string, from infra.Offset, max int, wait time.Duration) (infra.Batch, error) {
 	const op = "log.read"
 	var batch infra.Batch
-	err := l.Faults.do(ctx, op, "", func() error {
+	err := l.Faults.inject(ctx, op, "", func() error {
 		var err error
 		batch, err = l.read(ctx, stream, from, max, min(wait, maxReadWait))
 		return err
@@ -173,6 +178,7 @@
 	return batch, err
 }
 
+// read returns the records from an offset on, and waits for one if there is none.
 func (l *Log) read(ctx context.Context, stream string, from infra.Offset, max int, wait time.Duration) (infra.Batch, error) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -191,8 +197,8 @@
 	}
 }
 
-// readNow returns what the stream has now, and a channel that closes when more
-// arrives.
+// readNow returns the records that the stream has now, and a channel that closes
+// when more are appended.
 func (l *Log) readNow(stream string, from infra.Offset, max int) (infra.Batch, <-chan struct{}, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,7 +209,7 @@
 		from = 1
 	}
 	if from < s.oldest {
-		return batch, nil, refusal("log.read", "", infra.ReasonOutOfRange)
+		return batch, nil, refusalError("log.read", "", infra.ReasonOutOfRange)
 	}
 	size := 0
 	for o := from; o < s.next() && len(batch.Records) < max; o++ {
@@ -217,13 +223,13 @@
 	return batch, s.changed, nil
 }
 
-// LogTruth is what a log did.
+// LogTruth is the record of what a log did.
 type LogTruth struct {
-	Appends int
-	Records map[string][]infra.Record // by stream; with LogOptions.History only
+	Appends int                       // number of executed appends
+	Records map[string][]infra.Record // by stream; empty without LogOptions.History
 }
 
-// Truth returns what the log did.
+// Truth returns the record of what the log did.
 func (l *Log) Truth() LogTruth {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -253,7 +259,7 @@
 	count, err2 := strconv.Atoi(query.Get("max"))
 	wait, err3 := strconv.Atoi(query.Get("wait_ms"))
 	if err1 != nil || err2 != nil || err3 != nil {
-		writeError(w, refusal("log.read", "", infra.ReasonBadRequest), infra.Batch{})
+		writeError(w, refusalError("log.read", "", infra.ReasonBadRequest), infra.Batch{})
 		return
 	}
 	batch, err := l.Read(r.Context(), query.Get("stream"), infra.Offset(from), count, time.Duration(wait)*time.Millisecond)
--- a/standin/log_test.go
+++ b/standin/log_test.go
@@ -11,7 +11,7 @@
 	"greengageferry/infra"
 )
 
-func TestLogReadWaitsForARecord(t *testing.T) {
+func TestLogReadWaitsForRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := NewLog(LogOptions{})
 		start := time.Now()
@@ -31,7 +31,7 @@
 	})
 }
 
-func TestLogKeepsRecordsForATimeAndACount(t *testing.T) {
+func TestLogRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := NewLog(LogOptions{Retention: time.Hour, RetainedRecords: 3, History: true})
 		for range 4 {
@@ -49,7 +49,7 @@
 	})
 }
 
-func TestLogGivesABoundedBatch(t *testing.T) {
+func TestLogReadBatchLimit(t *testing.T) {
 	log := NewLog(LogOptions{})
 	large := make([]byte, maxReadBytes-1)
 	_, err := log.Append(t.Context(), "s", [][]byte{large, large, {1}})
@@ -62,7 +62,7 @@
 	require.Len(t, batch.Records, 1)
 }
 
-func TestLogAppendsAtItsRate(t *testing.T) {
+func TestLogAppendRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		log := NewLog(LogOptions{AppendsPerSecond: 100})
 		start := time.Now()
@@ -83,7 +83,7 @@
 	require.NoError(t, err)
 	require.Len(t, batch.Records, 1, "the append took effect")
 
-	log.Faults.Set(Always(Fault{Refused: true}))
+	log.Faults.Set(Always(Fault{Unavailable: true}))
 	_, err = log.Append(t.Context(), "s", [][]byte{{2}})
 	requireError(t, err, infra.ReasonUnavailable, infra.EffectNone)
 	_, err = log.Read(t.Context(), "s", 1, 10, 0)
--- a/standin/memory_test.go
+++ b/standin/memory_test.go
@@ -10,7 +10,7 @@
 	"greengageferry/infra"
 )
 
-func order(t *testing.T, engines *Engines, kind infra.OrderKind, item infra.Item, fence uint64) error {
+func order(t *testing.T, engines *LocalEngines, kind infra.OrderKind, item infra.Item, fence uint64) error {
 	return engines.Order(t.Context(), "s", infra.Order{Kind: kind, Item: item, Fence: fence})
 }
 
@@ -18,7 +18,7 @@
 	return infra.Item{Model: name, Version: "v1", MiB: mib}
 }
 
-func states(t *testing.T, engines *Engines) map[string]infra.ItemState {
+func states(t *testing.T, engines *LocalEngines) map[string]infra.ItemState {
 	status, err := engines.Status(t.Context(), "s")
 	require.NoError(t, err)
 	states := map[string]infra.ItemState{}
@@ -28,7 +28,7 @@
 	return states
 }
 
-func TestEngineCountsMemoryFromTheOrderToTheEndOfTheUnload(t *testing.T) {
+func TestEngineMemoryAccounting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := NewWeightStore(StoreOptions{MiBPerSecond: 10})
 		e, engines := runEngine(t, EngineOptions{ID: "s", MemoryMiB: 100, Store: store, UnloadTime: time.Second})
@@ -44,7 +44,7 @@
 		_, err := engines.Generate(t.Context(), "s", req)
 		requireError(t, err, infra.ReasonNotResident, infra.EffectNone)
 		_, err = readAll(running)
-		require.NoError(t, err, "a request in flight ends before the memory goes")
+		require.NoError(t, err, "a request in flight completes before its memory is freed")
 		require.Equal(t, map[string]infra.ItemState{"a": infra.ItemUnloading}, states(t, engines))
 		requireError(t, order(t, engines, infra.OrderLoad, item("b", 60), 2), infra.ReasonNoMemory, infra.EffectNone)
 		time.Sleep(time.Second + 1)
@@ -91,7 +91,7 @@
 			require.NoError(t, err)
 			require.Equal(t, keeps, status.Fence == 5)
 			time.Sleep(time.Hour)
-			require.Empty(t, states(t, engines), "a load of the process before does not come back")
+			require.Empty(t, states(t, engines), "a load from before the restart does not continue")
 		})
 	}
 }
@@ -103,17 +103,17 @@
 			e.Faults.Set(First(1, f, "engine.order"))
 			return order(t, engines, infra.OrderFence, infra.Item{}, uint64(len(e.Truth().Orders)+1))
 		}
-		requireError(t, one(Fault{Lost: true}), infra.ReasonUnreachable, infra.EffectUnknown)
+		requireError(t, one(Fault{RequestLost: true}), infra.ReasonUnreachable, infra.EffectUnknown)
 		require.Empty(t, e.Truth().Orders)
-		requireError(t, one(Fault{Refused: true}), infra.ReasonUnavailable, infra.EffectNone)
+		requireError(t, one(Fault{Unavailable: true}), infra.ReasonUnavailable, infra.EffectNone)
 		require.Empty(t, e.Truth().Orders)
 		requireError(t, one(Fault{AnswerLost: true}), infra.ReasonUnreachable, infra.EffectUnknown)
 		require.Len(t, e.Truth().Orders, 1)
-		requireError(t, one(Fault{Late: time.Minute}), infra.ReasonUnreachable, infra.EffectUnknown)
+		requireError(t, one(Fault{RunAfterBreak: time.Minute}), infra.ReasonUnreachable, infra.EffectUnknown)
 		require.Len(t, e.Truth().Orders, 1)
 		time.Sleep(time.Minute + 1)
 		require.Len(t, e.Truth().Orders, 2)
-		require.NoError(t, one(Fault{Copies: 2, CopyAfter: time.Second}))
+		require.NoError(t, one(Fault{Repeats: 2, RepeatInterval: time.Second}))
 		require.Len(t, e.Truth().Orders, 3)
 		time.Sleep(3 * time.Second)
 		require.Len(t, e.Truth().Orders, 5)
@@ -125,7 +125,7 @@
 	})
 }
 
-func TestStoreKeepsItsRateAndSharesItsSpeed(t *testing.T) {
+func TestStoreRateLimitAndSharedThroughput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limits := map[string]infra.StoreLimits{"instituto": {LoadsPerSecond: 1, ConcurrentLoads: 1}}
 		store := NewWeightStore(StoreOptions{Limits: limits, MiBPerSecond: 10})
@@ -138,13 +138,14 @@
 				}
 			}()
 		}
-		// Alone for 1 s (10 MiB), then both at half speed: the first has 30 MiB
-		// left, 6 s; then the second has 10 MiB left, 1 s.
+		// The first fetch runs alone for 1 s (10 MiB). Then both run at half speed:
+		// the first has 30 MiB left and takes 6 s. Then the second has 10 MiB left
+		// and takes 1 s.
 		require.InDelta(t, 7, (<-ends).Seconds(), 0.3)
 		require.InDelta(t, 8, (<-ends).Seconds(), 0.3)
-		require.Equal(t, StoreTruth{Fetches: map[string]int{"instituto": 2}, Peak: map[string]int{"instituto": 2}}, store.Truth())
+		require.Equal(t, StoreTruth{Fetches: map[string]int{"instituto": 2}, PeakConcurrent: map[string]int{"instituto": 2}}, store.Truth())
 
-		store.SetSlow(10)
+		store.SetSlowdown(10)
 		start = time.Now()
 		require.NoError(t, store.Fetch(t.Context(), "instituto", 10))
 		require.InDelta(t, 10, time.Since(start).Seconds(), 1.1)
--- a/standin/network.go
+++ b/standin/network.go
@@ -8,94 +8,93 @@
 	"time"
 )
 
-// Network joins failure domains that can be cut off from each other, one way
-// or both. It stands in the dials of HTTP clients: a client in one failure
-// domain that dials through its Dialer reaches an address in another only while
-// the way there isn't cut. As on a real network a cut gives no error: what is
-// sent is held, and goes on its way once the cut has healed. A connection that
-// has been held for keepAlive breaks, as TCP's keep-alive has it.
+// Network simulates network partitions between failure domains, in one direction or
+// both, and the death of nodes. It applies to HTTP clients that dial through its
+// Dialer. As on a real network, a partition causes no error by itself: connections
+// and data are held until the partition heals. A connection that has been held for
+// keepAliveTimeout breaks, as with TCP keep-alive.
 type Network struct {
-	mu      sync.Mutex
-	domains map[string]string     // by address
-	cuts    map[way]chan struct{} // closed when the cut heals
-	conns   map[*networkConn]struct{}
-	dead    map[string]bool // nodes, and addresses of nodes
+	mu         sync.Mutex
+	domains    map[string]string           // failure domain by address
+	partitions map[direction]chan struct{} // closed when the partition heals
+	conns      map[*networkConn]struct{}
+	dead       map[string]bool // killed nodes, and addresses of killed nodes
 }
 
-// keepAlive is after how long an entry instance's system gives up a connection
-// whose other side is silent.
-const keepAlive = 9 * time.Second
+// keepAliveTimeout is how long a peer can be silent before an entry instance's
+// operating system gives up the connection.
+const keepAliveTimeout = 9 * time.Second
 
-// way is the direction from one failure domain to another.
-type way struct{ from, to string }
+// direction is the ordered pair of a sending and a receiving failure domain.
+type direction struct{ from, to string }
 
-// NewNetwork returns a network without cuts.
+// NewNetwork returns a network without partitions.
 func NewNetwork() *Network {
 	return &Network{
-		domains: map[string]string{},
-		cuts:    map[way]chan struct{}{},
-		conns:   map[*networkConn]struct{}{},
-		dead:    map[string]bool{},
+		domains:    map[string]string{},
+		partitions: map[direction]chan struct{}{},
+		conns:      map[*networkConn]struct{}{},
+		dead:       map[string]bool{},
 	}
 }
 
-// Place says in which failure domain an address is. An address without a place
-// is reached from everywhere.
-func (n *Network) Place(addr, domain string) {
+// SetDomain sets the failure domain of an address. An address without a failure
+// domain is reachable from all of them.
+func (n *Network) SetDomain(addr, domain string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.domains[addr] = domain
 }
 
-// CutWay cuts what goes from one failure domain to another.
-func (n *Network) CutWay(from, to string) {
+// PartitionOneWay holds the traffic from one failure domain to another.
+func (n *Network) PartitionOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := way{from, to}
-	if n.cuts[w] == nil {
-		n.cuts[w] = make(chan struct{})
+	w := direction{from, to}
+	if n.partitions[w] == nil {
+		n.partitions[w] = make(chan struct{})
 	}
 }
 
-// Cut cuts both ways between two failure domains.
-func (n *Network) Cut(a, b string) {
-	n.CutWay(a, b)
-	n.CutWay(b, a)
+// Partition holds the traffic between two failure domains in both directions.
+func (n *Network) Partition(a, b string) {
+	n.PartitionOneWay(a, b)
+	n.PartitionOneWay(b, a)
 }
 
-// Heal ends the cuts between two failure domains.
+// Heal ends the partitions between two failure domains, in both directions.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range []way{{a, b}, {b, a}} {
-		if healed := n.cuts[w]; healed != nil {
+	for _, w := range []direction{{a, b}, {b, a}} {
+		if healed := n.partitions[w]; healed != nil {
 			close(healed)
-			delete(n.cuts, w)
+			delete(n.partitions, w)
 		}
 	}
 }
 
-// cut returns a channel that closes when the way's cut heals, or nil if there
-// is none.
-func (n *Network) cut(w way) <-chan struct{} {
+// healSignal returns a channel that closes when the direction's partition heals, or
+// nil if there is no partition.
+func (n *Network) healSignal(w direction) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if healed := n.cuts[w]; healed != nil {
+	if healed := n.partitions[w]; healed != nil {
 		return healed
 	}
 	return nil
 }
 
-// wait returns true once the way is open, or false if ended closes first or
-// keepAlive has passed.
-func (n *Network) wait(w way, ended <-chan struct{}) bool {
-	healed := n.cut(w)
+// wait returns true once the direction has no partition, or false if ended closes
+// or keepAliveTimeout passes first.
+func (n *Network) wait(w direction, ended <-chan struct{}) bool {
+	healed := n.healSignal(w)
 	if healed == nil {
 		return true
 	}
-	timer := time.NewTimer(keepAlive)
+	timer := time.NewTimer(keepAliveTimeout)
 	defer timer.Stop()
-	for ; healed != nil; healed = n.cut(w) {
+	for ; healed != nil; healed = n.healSignal(w) {
 		select {
 		case <-healed:
 		case <-ended:
@@ -107,9 +106,8 @@
 	return true
 }
 
-// Kill has a node die as a killed process does, seen from outside: the
-// connections that it dialed and those to its addresses break, and new ones are
-// refused.
+// Kill simulates the death of a node's process as other nodes see it: connections
+// that the node dialed and those to its addresses break, and new ones are refused.
 func (n *Network) Kill(node string, addrs ...string) {
 	n.mu.Lock()
 	n.dead[node] = true
@@ -128,8 +126,8 @@
 	}
 }
 
-// Dialer returns what a client of a node in the failure domain dials with: an
-// http.Transport's DialContext.
+// Dialer returns the DialContext function for the http.Transport of a node in the
+// failure domain.
 func (n *Network) Dialer(from, node string) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		n.mu.Lock()
@@ -138,16 +136,16 @@
 		if !placed {
 			to = from
 		}
-		there, back := way{from, to}, way{to, from}
-		if !n.wait(there, ctx.Done()) || !n.wait(back, ctx.Done()) {
+		outbound, inbound := direction{from, to}, direction{to, from}
+		if !n.wait(outbound, ctx.Done()) || !n.wait(inbound, ctx.Done()) {
 			return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ETIMEDOUT}
 		}
 		conn, err := (&net.Dialer{}).DialContext(ctx, network, addr)
 		if err != nil {
 			return nil, err
 		}
-		c := &networkConn{Conn: conn, network: n, node: node, addr: addr, there: there, back: back, closed: make(chan struct{})}
-		if !n.add(c) {
+		c := &networkConn{Conn: conn, network: n, node: node, addr: addr, outbound: outbound, inbound: inbound, closed: make(chan struct{})}
+		if !n.register(c) {
 			conn.Close()
 			return nil, &net.OpError{Op: "dial", Net: network, Err: syscall.ECONNREFUSED}
 		}
@@ -155,8 +153,8 @@
 	}
 }
 
-// add takes in a new connection unless an end of it is dead.
-func (n *Network) add(c *networkConn) bool {
+// register adds a new connection, or returns false if the node on either end is dead.
+func (n *Network) register(c *networkConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dead[c.node] || n.dead[c.addr] {
@@ -166,52 +164,53 @@
 	return true
 }
 
-func (n *Network) remove(c *networkConn) {
+func (n *Network) unregister(c *networkConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, c)
 }
 
-// networkConn holds what passes a cut way.
+// networkConn is a connection that holds its data during a partition.
 type networkConn struct {
 	net.Conn
-	network     *Network
-	node, addr  string // who dialed, and whom
-	there, back way
-	close       sync.Once
-	closed      chan struct{}
+	network           *Network
+	node, addr        string // the dialing node, and the dialed address
+	outbound, inbound direction
+	close             sync.Once
+	closed            chan struct{}
 }
 
-// Read implements net.Conn. What has come while the way back is cut is held.
+// Read implements net.Conn. Data that arrives during a partition of the inbound
+// direction is held.
 func (c *networkConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	if !c.network.wait(c.back, c.closed) {
-		return 0, c.timedOut()
+	if !c.network.wait(c.inbound, c.closed) {
+		return 0, c.closeTimedOut()
 	}
 	return n, err
 }
 
-// Write implements net.Conn.
+// Write implements net.Conn. It blocks during a partition of the outbound direction.
 func (c *networkConn) Write(p []byte) (int, error) {
-	if !c.network.wait(c.there, c.closed) {
-		return 0, c.timedOut()
+	if !c.network.wait(c.outbound, c.closed) {
+		return 0, c.closeTimedOut()
 	}
 	return c.Conn.Write(p)
 }
 
-// timedOut closes the connection and returns the error of one that was silent
-// for too long.
-func (c *networkConn) timedOut() error {
+// closeTimedOut closes the connection and returns the error of a connection that was
+// silent for too long.
+func (c *networkConn) closeTimedOut() error {
 	c.Close()
 	return syscall.ETIMEDOUT
 }
 
-// Close implements net.Conn. A close passes any cut, so that a test's servers
-// can end.
+// Close implements net.Conn. A close takes effect despite partitions, so that a
+// test's servers can shut down.
 func (c *networkConn) Close() error {
 	c.close.Do(func() {
 		close(c.closed)
-		c.network.remove(c)
+		c.network.unregister(c)
 	})
 	return c.Conn.Close()
 }
--- a/standin/network_test.go
+++ b/standin/network_test.go
@@ -11,8 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNetworkHoldsWhatPassesACut sends a request over a cut way each way round.
-func TestNetworkHoldsWhatPassesACut(t *testing.T) {
+// TestNetworkPartitionHoldsTraffic sends requests during a partition of each direction
+// and of both.
+func TestNetworkPartitionHoldsTraffic(t *testing.T) {
 	network := NewNetwork()
 	served := make(chan struct{}, 10)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -20,7 +21,7 @@
 		_, _ = io.WriteString(w, "answer")
 	}))
 	defer s.Close()
-	network.Place(s.Listener.Addr().String(), "pelotas")
+	network.SetDomain(s.Listener.Addr().String(), "pelotas")
 	client := &http.Client{Transport: &http.Transport{DialContext: network.Dialer("porto-a", "entry-1")}}
 	defer client.CloseIdleConnections()
 	get := func() <-chan error {
@@ -37,18 +38,18 @@
 	}
 	require.NoError(t, <-get())
 	<-served
-	network.CutWay("pelotas", "porto-a")
+	network.PartitionOneWay("pelotas", "porto-a")
 	answered := get()
-	<-served // the request gets there
+	<-served // the request arrives
 	require.Empty(t, answered)
-	network.CutWay("porto-a", "pelotas")
-	second := get() // needs a connection of its own: the first is waiting
+	network.PartitionOneWay("porto-a", "pelotas")
+	second := get() // needs a new connection because the first is in use
 	network.Heal("porto-a", "pelotas")
 	require.NoError(t, <-answered)
 	require.NoError(t, <-second)
 	<-served
 
-	network.Cut("porto-a", "pelotas")
+	network.Partition("porto-a", "pelotas")
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	client.CloseIdleConnections()
@@ -59,8 +60,8 @@
 	require.Empty(t, served)
 }
 
-// TestNetworkKillsANode kills who dialed, and whom was dialed.
-func TestNetworkKillsANode(t *testing.T) {
+// TestNetworkKill kills the dialing node or the dialed address.
+func TestNetworkKill(t *testing.T) {
 	for _, dead := range []string{"entry-1", "address"} {
 		network := NewNetwork()
 		held := make(chan struct{})
--- a/standin/server.go
+++ b/standin/server.go
@@ -16,27 +16,28 @@
 	"greengageferry/infra"
 )
 
-// maxBodyBytes bounds a request's body: an append of the largest checkpoint in
-// base64 is well under it.
+// maxBodyBytes limits a request body. An append of the largest checkpoint, in
+// base64, is well below the limit.
 const maxBodyBytes = 16 << 20
 
-// headerTimeout bounds how long a connection may take over a request's header.
+// headerTimeout limits how long a client may take to send a request's header.
 const headerTimeout = 10 * time.Second
 
-// Standin is what every stand-in is: a handler, and a duty that Run carries out.
-type Standin interface {
+// Fake is implemented by every fake: an HTTP handler and its background work.
+type Fake interface {
 	http.Handler
-	// Run works until ctx ends and then returns nil.
+	// Run does the background work until ctx ends and then returns nil.
 	Run(ctx context.Context) error
 }
 
-// breaker is a stand-in that breaks its connections by itself, as when its
-// process dies.
-type breaker interface {
-	onBreak(f func())
+// connCloser is implemented by a fake that closes its server's connections
+// itself, for example when its simulated process dies.
+type connCloser interface {
+	// setCloseConnections sets the function that closes the connections.
+	setCloseConnections(f func())
 }
 
-// ListenError says that a stand-in could not listen.
+// ListenError reports that a fake could not listen on Addr.
 type ListenError struct {
 	Addr  string
 	Cause string
@@ -45,7 +46,7 @@
 // Error implements error.
 func (e *ListenError) Error() string { return fmt.Sprintf("listen on %s: %s", e.Addr, e.Cause) }
 
-// Server serves one stand-in on a loopback address.
+// Server serves one fake on a loopback address.
 type Server struct {
 	addr   string
 	cancel context.CancelFunc
@@ -57,9 +58,9 @@
 	conns map[net.Conn]struct{}
 }
 
-// Start serves the stand-in on a loopback address such as 127.0.0.1:0, and runs
-// it until Close.
-func Start(addr string, s Standin) (*Server, error) {
+// Start serves the fake on a loopback address such as 127.0.0.1:0 and runs it
+// until Close.
+func Start(addr string, s Fake) (*Server, error) {
 	if err := checkLoopback(addr); err != nil {
 		return nil, err
 	}
@@ -69,9 +70,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	server := &Server{addr: listener.Addr().String(), cancel: cancel, conns: map[net.Conn]struct{}{}}
-	server.http = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, ConnState: server.track}
-	if b, ok := s.(breaker); ok {
-		b.onBreak(server.Break)
+	server.http = &http.Server{Handler: s, ReadHeaderTimeout: headerTimeout, ConnState: server.trackConn}
+	if b, ok := s.(connCloser); ok {
+		b.setCloseConnections(server.CloseConnections)
 	}
 	server.group = &errgroup.Group{}
 	server.group.Go(func() error { return s.Run(ctx) })
@@ -79,6 +80,7 @@
 	return server, nil
 }
 
+// checkLoopback returns an error unless addr is a loopback IP with a port.
 func checkLoopback(addr string) error {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -98,14 +100,14 @@
 	return err
 }
 
-// Addr returns the address that it listens on, as IP:port.
+// Addr returns the address that the server listens on, as IP:port.
 func (s *Server) Addr() string { return s.addr }
 
-// URL returns its base URL.
+// URL returns the server's base URL.
 func (s *Server) URL() string { return "http://" + s.addr }
 
-// Break breaks all its connections.
-func (s *Server) Break() {
+// CloseConnections closes all open connections.
+func (s *Server) CloseConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
@@ -113,25 +115,26 @@
 	}
 }
 
-// SetDown has it break all connections, new ones too, until set to false. The
-// address stays its own.
+// SetDown sets whether the server closes all its connections, including new
+// ones. The server keeps its address while it is down.
 func (s *Server) SetDown(down bool) {
 	s.mu.Lock()
 	s.down = down
 	s.mu.Unlock()
 	if down {
-		s.Break()
+		s.CloseConnections()
 	}
 }
 
-// Close ends the stand-in and breaks its connections.
+// Close stops the fake, closes its connections and returns the first error.
 func (s *Server) Close() error {
 	s.cancel()
 	s.http.Close()
 	return s.group.Wait()
 }
 
-func (s *Server) track(c net.Conn, state http.ConnState) {
+// trackConn keeps conns up to date. It is the http.Server's ConnState hook.
+func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch state {
@@ -145,13 +148,14 @@
 	}
 }
 
-// writeJSON answers with a value.
+// writeJSON writes v as the JSON response body.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// readJSON decodes a request's body, or answers that it can't.
+// readJSON decodes the request body into v. If that fails, readJSON responds with
+// ReasonBadRequest and returns false.
 func readJSON(w http.ResponseWriter, r *http.Request, v any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
@@ -164,10 +168,10 @@
 	return false
 }
 
-// writeError answers with a refusal, or breaks the connection if the error says
-// that the answer is lost.
+// writeError responds with the error and the stream's bounds. If the error's cause
+// is a ConnectionBrokenError, writeError breaks the connection instead.
 func writeError(w http.ResponseWriter, err error, bounds infra.Batch) {
-	var broken *LostError
+	var broken *ConnectionBrokenError
 	if errors.As(err, &broken) {
 		panic(http.ErrAbortHandler)
 	}
@@ -179,12 +183,12 @@
 	}
 	body.Oldest, body.Next = bounds.Oldest, bounds.Next
 	w.Header().Set("Content-Type", "application/json")
-	w.WriteHeader(statusOf(body.Reason))
+	w.WriteHeader(httpStatus(body.Reason))
 	_ = json.NewEncoder(w).Encode(body)
 }
 
-// answer writes nothing but success, or the error.
-func answer(w http.ResponseWriter, err error) {
+// writeResult responds with an empty success, or with the error.
+func writeResult(w http.ResponseWriter, err error) {
 	if err != nil {
 		writeError(w, err, infra.Batch{})
 		return
@@ -192,8 +196,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// idle is the duty of a stand-in that only answers calls.
-func idle(ctx context.Context) error {
+// waitDone is Run for a fake without background work.
+func waitDone(ctx context.Context) error {
 	<-ctx.Done()
 	return nil
 }
--- a/standin/service.go
+++ b/standin/service.go
@@ -15,12 +15,12 @@
 
 // ServiceOptions are a plain service's settings.
 type ServiceOptions struct {
-	Name string
-	Work time.Duration // how long a call takes; default none
+	Name         string
+	CallDuration time.Duration // how long a call takes; default none
 }
 
-// Service is a stand-in for a backend server of a plain service. It answers
-// each call with a ServiceEcho and records each run. Its operation is
+// Service is a fake backend server of a plain service. It answers each call with
+// a ServiceEcho and records each call that it runs. Its operation for Faults is
 // "service.call".
 type Service struct {
 	Faults Faults
@@ -32,18 +32,18 @@
 	runs    []ServiceRun
 }
 
-var _ Standin = (*Service)(nil)
+var _ Fake = (*Service)(nil)
 
-// ServiceRun is one call that a plain service ran.
+// ServiceRun describes one call that a plain service ran.
 type ServiceRun struct {
 	Attempt string // from the header infra.HeaderAttempt
 	Method  string
 	Path    string
-	Body    uint64 // hash of the body
+	Body    uint64 // xxhash of the request body
 	At      time.Time
 }
 
-// ServiceEcho is a plain service's answer.
+// ServiceEcho is a plain service's response body. It repeats the request.
 type ServiceEcho struct {
 	Service string `json:"service"`
 	Method  string `json:"method"`
@@ -51,13 +51,13 @@
 	Body    string `json:"body"`
 }
 
-// NewService returns a plain service's backend server.
+// NewService returns a fake backend server of a plain service.
 func NewService(options ServiceOptions) *Service { return &Service{options: options} }
 
-// Run implements Standin.
-func (s *Service) Run(ctx context.Context) error { return idle(ctx) }
+// Run implements Fake.
+func (s *Service) Run(ctx context.Context) error { return waitDone(ctx) }
 
-// SetLeaving has it refuse new calls.
+// SetLeaving sets whether the server refuses new calls because it is leaving.
 func (s *Service) SetLeaving(leaving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,34 +68,35 @@
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
-		refuse(w, infra.ReasonBadRequest)
+		writeRefusal(w, infra.ReasonBadRequest)
 		return
 	}
-	err = s.Faults.do(r.Context(), "service.call", "", func() error { return s.run(r, body) })
+	err = s.Faults.inject(r.Context(), "service.call", "", func() error { return s.runCall(r, body) })
 	switch e, _ := err.(*infra.Error); {
 	case err == nil:
 		writeJSON(w, ServiceEcho{Service: s.options.Name, Method: r.Method, Path: r.URL.RequestURI(), Body: string(body)})
 	case e != nil && e.Effect == infra.EffectNone:
-		refuse(w, e.Reason)
+		writeRefusal(w, e.Reason)
 	default:
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func refuse(w http.ResponseWriter, reason infra.Reason) {
+// writeRefusal responds that the call was refused before it started.
+func writeRefusal(w http.ResponseWriter, reason infra.Reason) {
 	w.Header().Set(infra.HeaderRefused, string(reason))
-	w.WriteHeader(statusOf(reason))
+	w.WriteHeader(httpStatus(reason))
 }
 
-// run records the call and takes its time. What it has begun it ends, whether
-// or not its caller waits.
-func (s *Service) run(r *http.Request, body []byte) error {
+// runCall records the call and sleeps for CallDuration. A call that has started
+// runs to its end even if the client disconnects.
+func (s *Service) runCall(r *http.Request, body []byte) error {
 	s.mu.Lock()
 	if s.leaving {
 		s.mu.Unlock()
-		return refusal("service.call", s.options.Name, infra.ReasonLeaving)
+		return refusalError("service.call", s.options.Name, infra.ReasonLeaving)
 	}
-	if len(s.runs) < maxTruth {
+	if len(s.runs) < maxTruthEntries {
 		s.runs = append(s.runs, ServiceRun{
 			Attempt: r.Header.Get(infra.HeaderAttempt),
 			Method:  r.Method,
@@ -105,13 +106,13 @@
 		})
 	}
 	s.mu.Unlock()
-	if s.options.Work > 0 {
-		time.Sleep(s.options.Work)
+	if s.options.CallDuration > 0 {
+		time.Sleep(s.options.CallDuration)
 	}
 	return nil
 }
 
-// Truth returns the calls that it ran.
+// Truth returns the calls that the service ran, oldest first.
 func (s *Service) Truth() []ServiceRun {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/standin_test.go
+++ b/standin/standin_test.go
@@ -19,8 +19,9 @@
 
 var planner = infra.Item{Model: "tray-planner", Version: "v1", MiB: 100}
 
-// runEngine runs an engine under synctest until the test ends.
-func runEngine(t *testing.T, options EngineOptions) (*Engine, *Engines) {
+// runEngine runs an engine under synctest until the test ends. It returns the engine
+// and an infra.Engine that has the engine at the address s.
+func runEngine(t *testing.T, options EngineOptions) (*Engine, *LocalEngines) {
 	e := NewEngine(options)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -33,12 +34,12 @@
 		<-done
 	})
 	synctest.Wait()
-	engines := NewEngines()
+	engines := NewLocalEngines()
 	engines.Add("s", e)
 	return e, engines
 }
 
-func load(t *testing.T, engines *Engines, item infra.Item, fence uint64) {
+func load(t *testing.T, engines *LocalEngines, item infra.Item, fence uint64) {
 	require.NoError(t, engines.Order(t.Context(), "s", infra.Order{Kind: infra.OrderLoad, Item: item, Fence: fence}))
 	synctest.Wait()
 }
@@ -62,7 +63,7 @@
 	}
 }
 
-func TestEngineGivesTheOneAnswer(t *testing.T) {
+func TestEngineReturnsExpectedAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, engines := runEngine(t, EngineOptions{ID: "s"})
 		load(t, engines, planner, 1)
--- a/standin/store.go
+++ b/standin/store.go
@@ -13,30 +13,31 @@
 	"greengageferry/infra"
 )
 
-// DefaultMiBPerSecond is how fast the store gives one load its weights while no
-// more are under way than it serves at full speed. A small model takes some
-// seconds with it.
+// DefaultMiBPerSecond is the rate of one fetch while no more fetches are active than
+// the store serves at full speed. A small model takes some seconds to load at this
+// rate.
 const DefaultMiBPerSecond = 4096
 
-// fetchChunk is how often a load's speed is set anew from how many are under
-// way.
-const fetchChunk = 100 * time.Millisecond
+// rateUpdateInterval is how often a fetch's rate is recomputed from the number of
+// active fetches.
+const rateUpdateInterval = 100 * time.Millisecond
 
-// Fetcher is where an engine gets weights from.
+// Fetcher fetches model weights for an engine.
 type Fetcher interface {
-	// Fetch returns once the weights are there, or an error.
+	// Fetch returns nil once mib MiB of weights have arrived.
 	Fetch(ctx context.Context, partner string, mib int64) error
 }
 
-// StoreOptions are a weight store's settings.
+// StoreOptions configures a WeightStore.
 type StoreOptions struct {
 	Limits       map[string]infra.StoreLimits // by partner
-	MiBPerSecond float64                      // of one load at full speed; default DefaultMiBPerSecond
+	MiBPerSecond float64                      // rate of one fetch at full speed; default DefaultMiBPerSecond
 }
 
-// WeightStore is a stand-in for the weight store. Each partner's loads begin at
-// a limited rate, and share the speed of its concurrent loads once there are
-// more. Its operations are "store.limits" and "store.fetch".
+// WeightStore is a fake of the platform's weight store. It limits the rate at which
+// each partner's fetches start. When a partner has more active fetches than its
+// ConcurrentLoads, they share the bandwidth of that many. The operations for Faults
+// are "store.limits" and "store.fetch".
 type WeightStore struct {
 	Faults Faults
 
@@ -44,39 +45,39 @@
 	mux      *http.ServeMux
 	limiters map[string]*rate.Limiter
 
-	mu     sync.Mutex
-	slow   float64
-	active map[string]int
-	truth  StoreTruth
+	mu            sync.Mutex
+	slowdown      float64
+	activeFetches map[string]int
+	truth         StoreTruth
 }
 
-// StoreTruth is what a store did.
+// StoreTruth is the record of what a store did.
 type StoreTruth struct {
-	Fetches map[string]int // begun, by partner
-	Peak    map[string]int // most at a time, by partner
+	Fetches        map[string]int // number of fetches begun, by partner
+	PeakConcurrent map[string]int // peak number of concurrent fetches, by partner
 }
 
 var (
 	_ infra.WeightStore = (*WeightStore)(nil)
-	_ Standin           = (*WeightStore)(nil)
+	_ Fake              = (*WeightStore)(nil)
 	_ Fetcher           = (*WeightStore)(nil)
 )
 
-// pathFetch is where engines in other processes fetch.
+// pathFetch is the path at which engines in other processes fetch weights.
 const pathFetch = "/store/fetch"
 
-// NewWeightStore returns a store.
+// NewWeightStore returns a store with the options.
 func NewWeightStore(options StoreOptions) *WeightStore {
 	if options.MiBPerSecond == 0 {
 		options.MiBPerSecond = DefaultMiBPerSecond
 	}
 	s := &WeightStore{
-		options:  options,
-		mux:      http.NewServeMux(),
-		limiters: map[string]*rate.Limiter{},
-		slow:     1,
-		active:   map[string]int{},
-		truth:    StoreTruth{Fetches: map[string]int{}, Peak: map[string]int{}},
+		options:       options,
+		mux:           http.NewServeMux(),
+		limiters:      map[string]*rate.Limiter{},
+		slowdown:      1,
+		activeFetches: map[string]int{},
+		truth:         StoreTruth{Fetches: map[string]int{}, PeakConcurrent: map[string]int{}},
 	}
 	for partner, limits := range options.Limits {
 		if limits.LoadsPerSecond > 0 {
@@ -88,23 +89,23 @@
 	return s
 }
 
-// Run implements Standin.
-func (s *WeightStore) Run(ctx context.Context) error { return idle(ctx) }
+// Run implements Fake.
+func (s *WeightStore) Run(ctx context.Context) error { return waitDone(ctx) }
 
 // ServeHTTP implements http.Handler.
 func (s *WeightStore) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.mux.ServeHTTP(w, r) }
 
-// SetSlow makes each load take factor times as long.
-func (s *WeightStore) SetSlow(factor float64) {
+// SetSlowdown makes each fetch take factor times as long.
+func (s *WeightStore) SetSlowdown(factor float64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.slow = factor
+	s.slowdown = factor
 }
 
 // Limits implements infra.WeightStore.
 func (s *WeightStore) Limits(ctx context.Context, partner string) (infra.StoreLimits, error) {
 	var limits infra.StoreLimits
-	err := s.Faults.do(ctx, "store.limits", "", func() error {
+	err := s.Faults.inject(ctx, "store.limits", "", func() error {
 		limits = s.options.Limits[partner]
 		return nil
 	})
@@ -113,63 +114,66 @@
 
 // Fetch implements Fetcher.
 func (s *WeightStore) Fetch(ctx context.Context, partner string, mib int64) error {
-	return s.Faults.do(ctx, "store.fetch", "", func() error { return s.fetch(ctx, partner, mib) })
+	return s.Faults.inject(ctx, "store.fetch", "", func() error { return s.fetch(ctx, partner, mib) })
 }
 
+// fetch waits for the partner's rate limit and then for the time that the weights
+// take.
 func (s *WeightStore) fetch(ctx context.Context, partner string, mib int64) error {
 	if limiter := s.limiters[partner]; limiter != nil {
 		if err := limiter.Wait(ctx); err != nil {
-			return refusal("store.fetch", "", infra.ReasonOverloaded)
+			return refusalError("store.fetch", "", infra.ReasonOverloaded)
 		}
 	}
-	s.begin(partner)
-	defer s.end(partner)
-	left := float64(mib)
-	for left > 0 {
-		speed := s.speed(partner)
-		chunk := min(fetchChunk, time.Duration(left/speed*float64(time.Second))+1)
+	s.beginFetch(partner)
+	defer s.endFetch(partner)
+	remaining := float64(mib)
+	for remaining > 0 {
+		fetchRate := s.fetchRate(partner)
+		chunk := min(rateUpdateInterval, time.Duration(remaining/fetchRate*float64(time.Second))+1)
 		if err := sleep(ctx, chunk); err != nil {
 			return contextError(ctx, "store.fetch", "", infra.EffectUnknown)
 		}
-		left -= speed * chunk.Seconds()
+		remaining -= fetchRate * chunk.Seconds()
 	}
 	return nil
 }
 
-func (s *WeightStore) begin(partner string) {
+func (s *WeightStore) beginFetch(partner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active[partner]++
+	s.activeFetches[partner]++
 	s.truth.Fetches[partner]++
-	s.truth.Peak[partner] = max(s.truth.Peak[partner], s.active[partner])
+	s.truth.PeakConcurrent[partner] = max(s.truth.PeakConcurrent[partner], s.activeFetches[partner])
 }
 
-func (s *WeightStore) end(partner string) {
+func (s *WeightStore) endFetch(partner string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.active[partner]--
+	s.activeFetches[partner]--
 }
 
-// speed returns how fast one of the partner's loads goes now, in MiB a second.
-func (s *WeightStore) speed(partner string) float64 {
+// fetchRate returns the current rate of each of the partner's fetches, in MiB per
+// second.
+func (s *WeightStore) fetchRate(partner string) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	speed := s.options.MiBPerSecond / s.slow
-	full := s.options.Limits[partner].ConcurrentLoads
-	if full > 0 && s.active[partner] > full {
-		speed *= float64(full) / float64(s.active[partner])
+	fetchRate := s.options.MiBPerSecond / s.slowdown
+	fullSpeedFetches := s.options.Limits[partner].ConcurrentLoads
+	if fullSpeedFetches > 0 && s.activeFetches[partner] > fullSpeedFetches {
+		fetchRate *= float64(fullSpeedFetches) / float64(s.activeFetches[partner])
 	}
-	return speed
+	return fetchRate
 }
 
-// Truth returns what the store did.
+// Truth returns the record of what the store did.
 func (s *WeightStore) Truth() StoreTruth {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	truth := StoreTruth{Fetches: map[string]int{}, Peak: map[string]int{}}
+	truth := StoreTruth{Fetches: map[string]int{}, PeakConcurrent: map[string]int{}}
 	for partner, n := range s.truth.Fetches {
 		truth.Fetches[partner] = n
-		truth.Peak[partner] = s.truth.Peak[partner]
+		truth.PeakConcurrent[partner] = s.truth.PeakConcurrent[partner]
 	}
 	return truth
 }
@@ -186,19 +190,19 @@
 func (s *WeightStore) serveFetch(w http.ResponseWriter, r *http.Request) {
 	mib, err := strconv.ParseInt(r.URL.Query().Get("mib"), 10, 64)
 	if err != nil {
-		writeError(w, refusal("store.fetch", "", infra.ReasonBadRequest), infra.Batch{})
+		writeError(w, refusalError("store.fetch", "", infra.ReasonBadRequest), infra.Batch{})
 		return
 	}
-	answer(w, s.Fetch(r.Context(), r.URL.Query().Get("partner"), mib))
+	writeResult(w, s.Fetch(r.Context(), r.URL.Query().Get("partner"), mib))
 }
 
-// HTTPFetcher fetches from a WeightStore in another process.
+// HTTPFetcher is a Fetcher that uses a WeightStore in another process.
 type HTTPFetcher struct {
 	base   string
 	client *http.Client
 }
 
-// NewHTTPFetcher returns a Fetcher from the store at the base URL.
+// NewHTTPFetcher returns an HTTPFetcher for the store at the base URL.
 func NewHTTPFetcher(base string, client *http.Client) *HTTPFetcher {
 	return &HTTPFetcher{base: base, client: client}
 }
@@ -209,7 +213,7 @@
 	query := url.Values{"partner": {partner}, "mib": {strconv.FormatInt(mib, 10)}}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, f.base+pathFetch+"?"+query.Encode(), nil)
 	if err != nil {
-		return refusal(op, f.base, infra.ReasonBadRequest)
+		return refusalError(op, f.base, infra.ReasonBadRequest)
 	}
 	res, err := f.client.Do(req)
 	if err != nil {
@@ -217,7 +221,7 @@
 	}
 	defer res.Body.Close()
 	if res.StatusCode/100 != 2 {
-		return refusal(op, f.base, infra.ReasonUnavailable)
+		return refusalError(op, f.base, infra.ReasonUnavailable)
 	}
 	return nil
 }
--- a/standin/tokens.go
+++ b/standin/tokens.go
@@ -9,30 +9,30 @@
 	"greengageferry/infra"
 )
 
-// Natural answers are between minAnswerTokens and minAnswerTokens+answerSpread
-// tokens long, and shorter where the request bounds them.
+// An answer has at least minAnswerTokens and fewer than
+// minAnswerTokens+answerTokenRange tokens, or fewer where the request limits it.
 const (
-	minAnswerTokens = 24
-	answerSpread    = 233
+	minAnswerTokens  = 24
+	answerTokenRange = 233
 )
 
-// words are what answers are made of.
+// words are the vocabulary of answers.
 var words = [...]string{
 	"arch", "beam", "cart", "cornice", "crack", "damp", "dock", "draft", "façade", "flag",
 	"galley", "gate", "halal", "joint", "kosher", "ledger", "lime", "meal", "mortar", "note",
 	"oven", "plaster", "porch", "rack", "roof", "salt", "seat", "slate", "tray", "truss", "vault", "wall",
 }
 
-// Answer is the one answer to a prompt: a pure function of model, adapter,
-// prompt and seed, so that each server gives the same, and each token can be
-// checked.
+// Answer is the expected answer to a request. It is a pure function of model,
+// adapter, prompt and seed, so that every server generates the same answer and each
+// token can be checked.
 type Answer struct {
 	base   uint64
 	length int
 }
 
-// AnswerTo returns the answer to a request, whatever its attempt, prefix and
-// version.
+// AnswerTo returns the answer to a request. The answer does not depend on the
+// request's attempt, prefix, version or token limit.
 func AnswerTo(req infra.GenerateRequest) Answer {
 	d := xxhash.New()
 	for _, s := range []string{req.Model, req.Adapter, req.Prompt} {
@@ -42,10 +42,10 @@
 	}
 	_, _ = d.Write(binary.LittleEndian.AppendUint64(nil, req.Seed))
 	base := d.Sum64()
-	return Answer{base: base, length: minAnswerTokens + int(base%answerSpread)}
+	return Answer{base: base, length: minAnswerTokens + int(base%answerTokenRange)}
 }
 
-// Token returns the token at the index.
+// Token returns the token at the index, counted from 0.
 func (a Answer) Token(index int) string {
 	var buf [16]byte
 	binary.LittleEndian.PutUint64(buf[:8], a.base)
@@ -54,8 +54,8 @@
 	return words[h%uint64(len(words))] + strconv.FormatUint(h>>48, 36) + " "
 }
 
-// Length returns how many tokens the answer has within a bound, and why it ends
-// there.
+// Length returns the answer's length under the limit, in tokens, and why the answer
+// ends there.
 func (a Answer) Length(maxTokens int) (int, infra.Finish) {
 	if a.length <= maxTokens {
 		return a.length, infra.FinishStop
@@ -63,7 +63,7 @@
 	return maxTokens, infra.FinishLength
 }
 
-// Text returns the whole answer within a bound.
+// Text returns the text of the first maxTokens tokens, or of all if there are fewer.
 func (a Answer) Text(maxTokens int) string {
 	n, _ := a.Length(maxTokens)
 	var text []byte
--- a/whole/deploy_test.go
+++ b/whole/deploy_test.go
@@ -148,7 +148,7 @@
 	d.truth.Models = declared(t)
 	d.placeServers()
 	for _, e := range p.Engines {
-		e.SetSlow(quick)
+		e.SetSlowdown(quick)
 	}
 	return d
 }
@@ -173,10 +173,10 @@
 // placeServers puts the platform and the backend servers into the network.
 func (d *deployment) placeServers() {
 	for _, name := range []string{"log", "list", "store"} {
-		d.network.Place(d.platform.Servers[name].Addr(), placePlatform)
+		d.network.SetDomain(d.platform.Servers[name].Addr(), placePlatform)
 	}
 	for _, i := range d.platform.List.Truth() {
-		d.network.Place(i.Addr, i.FailureDomain)
+		d.network.SetDomain(i.Addr, i.FailureDomain)
 	}
 }
 
@@ -207,7 +207,7 @@
 	})
 	require.NoError(d.t, err)
 	for _, addr := range n.addrs() {
-		d.network.Place(addr, n.id)
+		d.network.SetDomain(addr, n.id)
 	}
 	d.platform.List.Put(infra.Instance{
 		ID: n.id, Role: infra.RoleEntry, State: infra.StateLive,
--- a/whole/failures_test.go
+++ b/whole/failures_test.go
@@ -189,7 +189,7 @@
 	for place := range with {
 		for _, other := range d.places() {
 			if !with[other] {
-				d.network.Cut(place, other)
+				d.network.Partition(place, other)
 			}
 		}
 	}
@@ -221,7 +221,7 @@
 
 func TestWholeLogDown(t *testing.T) {
 	underTraffic(t, func(d *deployment, tr *traffic) {
-		d.platform.Log.Faults.Set(standin.Always(standin.Fault{Lost: true}))
+		d.platform.Log.Faults.Set(standin.Always(standin.Fault{RequestLost: true}))
 		tr.completed(some / 2)
 		for _, e := range d.engines()[:2] {
 			e.Restart(200 * time.Millisecond)
@@ -267,9 +267,9 @@
 func TestWholeOrdersLostLateAndTwice(t *testing.T) {
 	underTraffic(t, func(d *deployment, tr *traffic) {
 		faults := []standin.Fault{
-			{Lost: true},
-			{Late: 2 * time.Second},
-			{Copies: 2, CopyAfter: time.Second},
+			{RequestLost: true},
+			{RunAfterBreak: 2 * time.Second},
+			{Repeats: 2, RepeatInterval: time.Second},
 			{AnswerLost: true},
 			{Delay: 700 * time.Millisecond},
 			{},
@@ -295,9 +295,9 @@
 func TestWholeServersSlowAndLeaving(t *testing.T) {
 	underTraffic(t, func(d *deployment, tr *traffic) {
 		engines := d.engines()
-		engines[0].SetSlow(20 * quick)
+		engines[0].SetSlowdown(20 * quick)
 		tr.completed(some)
-		engines[0].SetSlow(quick)
+		engines[0].SetSlowdown(quick)
 		for _, i := range d.platform.List.Truth() {
 			if i.ID != engines[1].ID() {
 				continue
@@ -318,11 +318,11 @@
 func TestWholeStreamsBroken(t *testing.T) {
 	underTraffic(t, func(d *deployment, tr *traffic) {
 		for i, e := range d.engines() {
-			e.SetPieces((&breaker{rng: rand.New(rand.NewPCG(11, uint64(i)))}).piece)
+			e.SetEventFaults((&breaker{rng: rand.New(rand.NewPCG(11, uint64(i)))}).piece)
 		}
 		tr.completed(3 * some)
 		for _, e := range d.engines() {
-			e.SetPieces(nil)
+			e.SetEventFaults(nil)
 		}
 	})
 }
@@ -334,28 +334,28 @@
 	last infra.Event // of any stream
 }
 
-func (b *breaker) piece(e infra.Event) standin.Pieces {
+func (b *breaker) piece(e infra.Event) standin.EventFault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	last := b.last
 	b.last = e
 	switch b.rng.IntN(180) {
 	case 0:
-		return standin.Pieces{Cut: true}
+		return standin.EventFault{Cut: true}
 	case 1:
-		return standin.Pieces{}
+		return standin.EventFault{}
 	case 2:
-		return standin.Pieces{Send: []infra.Event{e, e}}
+		return standin.EventFault{Send: []infra.Event{e, e}}
 	case 3:
-		return standin.Pieces{Send: []infra.Event{last, e}}
+		return standin.EventFault{Send: []infra.Event{last, e}}
 	case 4:
-		return standin.Pieces{Send: []infra.Event{e}, Delay: 300 * time.Millisecond}
+		return standin.EventFault{Send: []infra.Event{e}, Delay: 300 * time.Millisecond}
 	case 5:
 		later := e
 		later.Index++
-		return standin.Pieces{Send: []infra.Event{later, e}}
+		return standin.EventFault{Send: []infra.Event{later, e}}
 	}
-	return standin.Keep(e)
+	return standin.Unchanged(e)
 }
 
 // TestWholePoison has one caller send a request that crashes each server which
@@ -374,7 +374,7 @@
 		}
 		crashes := 0
 		for _, e := range d.engines() {
-			for _, why := range e.Truth().Stops {
+			for _, why := range e.Truth().StopReasons {
 				if why == "crashed" {
 					crashes++
 				}
--- a/whole/rules.go
+++ b/whole/rules.go
@@ -123,7 +123,7 @@
 	}
 	for _, e := range truth.Engines {
 		for _, v := range e.Violations {
-			if v.Kind == standin.ViolationPrefix || v.Kind == standin.ViolationAttempt {
+			if v.Kind == standin.ViolationWrongPrefix || v.Kind == standin.ViolationRepeatedAttempt {
 				r.violated("server %s: %s: %s", e.ID, v.Kind, v.Detail)
 			}
 		}
@@ -300,8 +300,8 @@
 	r := Result{Rule: RuleTruthWhole}
 	for _, e := range truth.Engines {
 		r.Events += len(e.Runs) + len(e.Orders)
-		if e.Dropped > 0 {
-			r.violated("server %s dropped %d entries", e.ID, e.Dropped)
+		if e.DroppedEntries > 0 {
+			r.violated("server %s dropped %d entries", e.ID, e.DroppedEntries)
 		}
 	}
 	return r
--- a/whole/rules_test.go
+++ b/whole/rules_test.go
@@ -52,7 +52,7 @@
 		Models:   models,
 		Services: map[string][]standin.ServiceRun{"d1": {{Attempt: "c", Body: standin.PromptHash("two trays")}}},
 		Engines: []standin.EngineTruth{
-			{ID: "s1", MemoryMiB: 100, PeakMiB: 100, Runs: []standin.Run{runOf(plain), runOf(once)}, Orders: []standin.OrderTaken{{}}},
+			{ID: "s1", MemoryMiB: 100, PeakMiB: 100, Runs: []standin.Run{runOf(plain), runOf(once)}, Orders: []standin.ReceivedOrder{{}}},
 			{ID: "s2", MemoryMiB: 100, PeakMiB: 50},
 		},
 		Leaving:   map[string]time.Time{"s1": start.Add(-LeavingGrace)},
@@ -84,7 +84,7 @@
 		}},
 		"answer without a run": {RuleWholeAnswer, func(_ []Told, truth *Truth) { truth.Engines[0].Runs = truth.Engines[0].Runs[1:] }},
 		"wrong prefix": {RuleWholeAnswer, func(_ []Told, truth *Truth) {
-			truth.Engines[1].Violations = []standin.Violation{{Kind: standin.ViolationPrefix}}
+			truth.Engines[1].Violations = []standin.Violation{{Kind: standin.ViolationWrongPrefix}}
 		}},
 		"not run, and ran": {RuleNotRun, func(h []Told, truth *Truth) {
 			truth.Engines[1].Runs = []standin.Run{runOf(h[3])}
@@ -117,7 +117,7 @@
 		}},
 		"configuration late":       {RuleConfigSpread, func(_ []Told, truth *Truth) { truth.Seen[1].Offset = 4 }},
 		"configuration went back":  {RuleConfigStays, func(_ []Told, truth *Truth) { truth.Seen = append(truth.Seen, Seen{"entry-1", 4, start}) }},
-		"truth that was cut short": {RuleTruthWhole, func(_ []Told, truth *Truth) { truth.Engines[0].Dropped = 1 }},
+		"truth that was cut short": {RuleTruthWhole, func(_ []Told, truth *Truth) { truth.Engines[0].DroppedEntries = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history, truth := world()
