--- a/standin/doc.go
+++ b/standin/doc.go
@@ -7,8 +7,9 @@
 // InstanceList, WeightStore and, through LocalEngines, Engine also implement their
 // interfaces of package infra in process, by the same code. Each fake has a Faults
 // field for injecting faults at run time. Each has a Truth method that returns the
-// ground truth, the record of what it actually did, for checks of the whole system.
-// Network simulates partitions between failure domains and the death of nodes.
+// ground truth for checks of the whole system: what the fake actually did, or for
+// InstanceList its content now. Network simulates partitions between failure domains
+// and the death of nodes.
 //
 // The fakes read the clock and sleep through package time only, so that they run
 // under testing/synctest.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -124,7 +124,8 @@
 // ID returns the engine's id on the platform's list of instances.
 func (e *Engine) ID() string { return e.options.ID }
 
-// Run implements Fake. Each iteration runs one batch step.
+// Run implements Fake. It runs the process and its batch loop. Each iteration is one
+// batch step.
 func (e *Engine) Run(ctx context.Context) error {
 	e.start(ctx)
 	defer e.loadTasks.Wait()
--- a/standin/engine_test.go
+++ b/standin/engine_test.go
@@ -324,9 +324,9 @@
 }
 
 // faultAt returns the fault f for the event with the index, and no fault for others.
-func faultAt(e infra.Event, index int, p EventFault) EventFault {
+func faultAt(e infra.Event, index int, f EventFault) EventFault {
 	if e.Index == index {
-		return p
+		return f
 	}
 	return Unchanged(e)
 }
--- a/standin/network.go
+++ b/standin/network.go
@@ -50,9 +50,9 @@
 func (n *Network) PartitionOneWay(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	w := direction{from, to}
-	if n.partitions[w] == nil {
-		n.partitions[w] = make(chan struct{})
+	d := direction{from, to}
+	if n.partitions[d] == nil {
+		n.partitions[d] = make(chan struct{})
 	}
 }
 
@@ -66,20 +66,20 @@
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range []direction{{a, b}, {b, a}} {
-		if healed := n.partitions[w]; healed != nil {
+	for _, d := range []direction{{a, b}, {b, a}} {
+		if healed := n.partitions[d]; healed != nil {
 			close(healed)
-			delete(n.partitions, w)
+			delete(n.partitions, d)
 		}
 	}
 }
 
 // healSignal returns a channel that closes when the direction's partition heals, or
 // nil if there is no partition.
-func (n *Network) healSignal(w direction) <-chan struct{} {
+func (n *Network) healSignal(d direction) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if healed := n.partitions[w]; healed != nil {
+	if healed := n.partitions[d]; healed != nil {
 		return healed
 	}
 	return nil
@@ -87,14 +87,14 @@
 
 // wait returns true once the direction has no partition, or false if ended closes
 // or keepAliveTimeout passes first.
-func (n *Network) wait(w direction, ended <-chan struct{}) bool {
-	healed := n.healSignal(w)
+func (n *Network) wait(d direction, ended <-chan struct{}) bool {
+	healed := n.healSignal(d)
 	if healed == nil {
 		return true
 	}
 	timer := time.NewTimer(keepAliveTimeout)
 	defer timer.Stop()
-	for ; healed != nil; healed = n.healSignal(w) {
+	for ; healed != nil; healed = n.healSignal(d) {
 		select {
 		case <-healed:
 		case <-ended:
@@ -164,6 +164,7 @@
 	return true
 }
 
+// unregister removes a closed connection.
 func (n *Network) unregister(c *networkConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/standin/server.go
+++ b/standin/server.go
@@ -87,7 +87,7 @@
 		return &ListenError{Addr: addr, Cause: err.Error()}
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return &ListenError{Addr: addr, Cause: "not a loopback IP number"}
+		return &ListenError{Addr: addr, Cause: "not a loopback IP address"}
 	}
 	return nil
 }
@@ -133,7 +133,8 @@
 	return s.group.Wait()
 }
 
-// trackConn keeps conns up to date. It is the http.Server's ConnState hook.
+// trackConn is the http.Server's ConnState hook. It keeps conns up to date and closes
+// new connections while the server is down.
 func (s *Server) trackConn(c net.Conn, state http.ConnState) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
