--- a/whole/deploy_test.go
+++ b/whole/deploy_test.go
@@ -149,7 +149,7 @@
 	d.truth.Models = declaredModels(t)
 	d.placeOnNetwork()
 	for _, e := range p.Engines {
-		e.SetSlow(engineTimeFactor)
+		e.SetSlowdown(engineTimeFactor)
 	}
 	return d
 }
@@ -175,10 +175,10 @@
 // network.
 func (d *deployment) placeOnNetwork() {
 	for _, name := range []string{"log", "list", "store"} {
-		d.network.Place(d.platform.Servers[name].Addr(), placePlatform)
+		d.network.SetDomain(d.platform.Servers[name].Addr(), placePlatform)
 	}
 	for _, i := range d.platform.List.Truth() {
-		d.network.Place(i.Addr, i.FailureDomain)
+		d.network.SetDomain(i.Addr, i.FailureDomain)
 	}
 }
 
@@ -210,7 +210,7 @@
 	})
 	require.NoError(d.t, err)
 	for _, addr := range n.addrs() {
-		d.network.Place(addr, n.id)
+		d.network.SetDomain(addr, n.id)
 	}
 	d.platform.List.Put(infra.Instance{
 		ID: n.id, Role: infra.RoleEntry, State: infra.StateLive,
--- a/whole/failures_test.go
+++ b/whole/failures_test.go
@@ -190,7 +190,7 @@
 	for place := range isolated {
 		for _, other := range d.places() {
 			if !isolated[other] {
-				d.network.Cut(place, other)
+				d.network.Partition(place, other)
 			}
 		}
 	}
@@ -222,7 +222,7 @@
 
 func TestWholeLogDown(t *testing.T) {
 	runUnderTraffic(t, func(d *deployment, tr *traffic) {
-		d.platform.Log.Faults.Set(standin.Always(standin.Fault{Lost: true}))
+		d.platform.Log.Faults.Set(standin.Always(standin.Fault{RequestLost: true}))
 		tr.waitCompleted(answersPerPhase / 2)
 		for _, e := range d.engines()[:2] {
 			e.Restart(200 * time.Millisecond)
@@ -268,9 +268,9 @@
 func TestWholeOrdersLostDelayedAndDuplicated(t *testing.T) {
 	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		faults := []standin.Fault{
-			{Lost: true},
-			{Late: 2 * time.Second},
-			{Copies: 2, CopyAfter: time.Second},
+			{RequestLost: true},
+			{RunAfterBreak: 2 * time.Second},
+			{Repeats: 2, RepeatInterval: time.Second},
 			{AnswerLost: true},
 			{Delay: 700 * time.Millisecond},
 			{},
@@ -296,9 +296,9 @@
 func TestWholeServersSlowAndLeaving(t *testing.T) {
 	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		engines := d.engines()
-		engines[0].SetSlow(20 * engineTimeFactor)
+		engines[0].SetSlowdown(20 * engineTimeFactor)
 		tr.waitCompleted(answersPerPhase)
-		engines[0].SetSlow(engineTimeFactor)
+		engines[0].SetSlowdown(engineTimeFactor)
 		for _, i := range d.platform.List.Truth() {
 			if i.ID != engines[1].ID() {
 				continue
@@ -319,11 +319,11 @@
 func TestWholeStreamsCorrupted(t *testing.T) {
 	runUnderTraffic(t, func(d *deployment, tr *traffic) {
 		for i, e := range d.engines() {
-			e.SetPieces((&streamCorrupter{rng: rand.New(rand.NewPCG(11, uint64(i)))}).corrupt)
+			e.SetEventFaults((&streamCorrupter{rng: rand.New(rand.NewPCG(11, uint64(i)))}).corrupt)
 		}
 		tr.waitCompleted(3 * answersPerPhase)
 		for _, e := range d.engines() {
-			e.SetPieces(nil)
+			e.SetEventFaults(nil)
 		}
 	})
 }
@@ -335,28 +335,28 @@
 	last infra.Event // the last event of any stream
 }
 
-func (b *streamCorrupter) corrupt(e infra.Event) standin.Pieces {
+func (b *streamCorrupter) corrupt(e infra.Event) standin.EventFault {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	last := b.last
 	b.last = e
 	switch b.rng.IntN(180) {
 	case 0:
-		return standin.Pieces{Cut: true}
+		return standin.EventFault{Cut: true}
 	case 1:
-		return standin.Pieces{}
+		return standin.EventFault{}
 	case 2:
-		return standin.Pieces{Send: []infra.Event{e, e}}
+		return standin.EventFault{Send: []infra.Event{e, e}}
 	case 3:
-		return standin.Pieces{Send: []infra.Event{last, e}}
+		return standin.EventFault{Send: []infra.Event{last, e}}
 	case 4:
-		return standin.Pieces{Send: []infra.Event{e}, Delay: 300 * time.Millisecond}
+		return standin.EventFault{Send: []infra.Event{e}, Delay: 300 * time.Millisecond}
 	case 5:
 		later := e
 		later.Index++
-		return standin.Pieces{Send: []infra.Event{later, e}}
+		return standin.EventFault{Send: []infra.Event{later, e}}
 	}
-	return standin.Keep(e)
+	return standin.Unchanged(e)
 }
 
 // TestWholePoisonRequest repeatedly sends a request that crashes each server that runs it, through
@@ -375,7 +375,7 @@
 		}
 		crashes := 0
 		for _, e := range d.engines() {
-			for _, why := range e.Truth().Stops {
+			for _, why := range e.Truth().StopReasons {
 				if why == "crashed" {
 					crashes++
 				}
--- a/whole/rules.go
+++ b/whole/rules.go
@@ -123,7 +123,7 @@
 	}
 	for _, e := range truth.Engines {
 		for _, v := range e.Violations {
-			if v.Kind == standin.ViolationPrefix || v.Kind == standin.ViolationAttempt {
+			if v.Kind == standin.ViolationWrongPrefix || v.Kind == standin.ViolationRepeatedAttempt {
 				r.addViolation("server %s: %s: %s", e.ID, v.Kind, v.Detail)
 			}
 		}
@@ -300,8 +300,8 @@
 	r := Result{Rule: RuleRecordsComplete}
 	for _, e := range truth.Engines {
 		r.Events += len(e.Runs) + len(e.Orders)
-		if e.Dropped > 0 {
-			r.addViolation("server %s dropped %d entries", e.ID, e.Dropped)
+		if e.DroppedEntries > 0 {
+			r.addViolation("server %s dropped %d entries", e.ID, e.DroppedEntries)
 		}
 	}
 	return r
--- a/whole/rules_test.go
+++ b/whole/rules_test.go
@@ -53,7 +53,7 @@
 		Models:   models,
 		Services: map[string][]standin.ServiceRun{"d1": {{Attempt: "c", Body: standin.PromptHash("two trays")}}},
 		Engines: []standin.EngineTruth{
-			{ID: "s1", MemoryMiB: 100, PeakMiB: 100, Runs: []standin.Run{engineRun(plain), engineRun(once)}, Orders: []standin.OrderTaken{{}}},
+			{ID: "s1", MemoryMiB: 100, PeakMiB: 100, Runs: []standin.Run{engineRun(plain), engineRun(once)}, Orders: []standin.ReceivedOrder{{}}},
 			{ID: "s2", MemoryMiB: 100, PeakMiB: 50},
 		},
 		Leaving:        map[string]time.Time{"s1": start.Add(-LeavingGrace)},
@@ -85,7 +85,7 @@
 		}},
 		"answer without a run": {RuleCompleteAnswer, func(_ []CallerView, truth *GroundTruth) { truth.Engines[0].Runs = truth.Engines[0].Runs[1:] }},
 		"wrong prefix": {RuleCompleteAnswer, func(_ []CallerView, truth *GroundTruth) {
-			truth.Engines[1].Violations = []standin.Violation{{Kind: standin.ViolationPrefix}}
+			truth.Engines[1].Violations = []standin.Violation{{Kind: standin.ViolationWrongPrefix}}
 		}},
 		"not run, and ran": {RuleNotRun, func(h []CallerView, truth *GroundTruth) {
 			truth.Engines[1].Runs = []standin.Run{engineRun(h[3])}
@@ -122,7 +122,7 @@
 		"configuration went back": {RuleConfigMonotonic, func(_ []CallerView, truth *GroundTruth) {
 			truth.ObservedConfig = append(truth.ObservedConfig, ObservedConfig{"entry-1", 4, start})
 		}},
-		"truth that was cut short": {RuleRecordsComplete, func(_ []CallerView, truth *GroundTruth) { truth.Engines[0].Dropped = 1 }},
+		"truth that was cut short": {RuleRecordsComplete, func(_ []CallerView, truth *GroundTruth) { truth.Engines[0].DroppedEntries = 1 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			history, truth := validHistory()
