--- a/quickstart/platform.go
+++ b/quickstart/platform.go
@@ -19,73 +19,75 @@
 )
 
 const (
-	// platformReady bounds the wait for the first instance: it reads the store at once.
-	platformReady = 10 * time.Second
-	// platformPoll is how often an instance is asked whether it is ready.
-	platformPoll = 100 * time.Millisecond
-	// storeIdle and orderIdle bound the unused connections of one instance.
-	storeIdle = 4
-	orderIdle = 1
+	// platformReadyTimeout bounds the wait until an instance is ready. It is short, since
+	// an instance reads the store right after its start.
+	platformReadyTimeout = 10 * time.Second
+	// platformPollInterval is how often an instance's readiness is polled.
+	platformPollInterval = 100 * time.Millisecond
+	// maxIdleStoreConns and maxIdleOrderConns bound the idle connections of one instance
+	// to the store and to each server that it sends orders to.
+	maxIdleStoreConns = 4
+	maxIdleOrderConns = 1
 )
 
-// InstanceError says that an instance did not come up.
+// InstanceError reports that an instance did not become ready in time.
 type InstanceError struct{ Instance string }
 
 // Error implements error.
 func (e *InstanceError) Error() string { return "instance " + e.Instance + " did not come up" }
 
 // RunPlatform runs stand-ins of the users' platform and an instance in each of
-// their two failure domains, until ctx ends. Once they serve it prints how to
-// send a request.
+// their two failure domains, until ctx ends. Once an instance is ready, RunPlatform
+// prints a line with what is needed to send a request to it.
 func RunPlatform(ctx context.Context, o Options) error {
 	site, err := standin.NewSite()
 	if err != nil {
 		return err
 	}
-	// The site outlives the instances: while they drain they still need it.
-	around, stop := context.WithCancel(context.WithoutCancel(ctx))
-	ended := make(chan error, 1)
-	go func() { ended <- site.Run(around) }()
+	// Instances still need the site while they drain, so it has a context of its own.
+	siteCtx, stopSite := context.WithCancel(context.WithoutCancel(ctx))
+	siteErr := make(chan error, 1)
+	go func() { siteErr <- site.Run(siteCtx) }()
 	group, ctx := errgroup.WithContext(ctx)
 	for _, domain := range site.Domains {
 		node, err := site.Node("front-"+domain, domain)
 		if err != nil {
-			stop()
+			stopSite()
 			return err
 		}
-		i := platformInstance(node, o)
+		i := newPlatformInstance(node, o)
 		group.Go(func() error { return i.Run(ctx) })
-		group.Go(func() error { return announcePlatform(ctx, node, o) })
+		group.Go(func() error { return printPlatformReadyLine(ctx, node, o) })
 	}
 	err = group.Wait()
-	stop()
-	return errors.CombineErrors(err, <-ended)
+	stopSite()
+	return errors.CombineErrors(err, <-siteErr)
 }
 
-func platformInstance(node *topology.Node, o Options) *instance.Instance {
-	store := platform.NewStore(node.StoreAddr, netconn.NewIdleClosingTransport(storeIdle, time.Minute))
+func newPlatformInstance(node *topology.Node, o Options) *instance.Instance {
+	store := platform.NewStore(node.StoreAddr, netconn.NewIdleClosingTransport(maxIdleStoreConns, time.Minute))
 	return instance.New(instance.Options{
 		Node: node, Source: store, Group: store, Headers: platform.Headers{},
-		Orderer: platform.NewOrderClient(netconn.Transport(orderIdle, time.Second)),
+		Orderer: platform.NewOrderClient(netconn.Transport(maxIdleOrderConns, time.Second)),
 		Clock:   netconn.BootTime,
 		Log:     o.Log.WithField("instance", node.Name),
 		Rand:    rand.New(rand.NewPCG(uint64(time.Now().UnixNano()), 1)),
 	})
 }
 
-// announcePlatform waits until an instance is ready, and prints its line.
-func announcePlatform(ctx context.Context, node *topology.Node, o Options) error {
-	for end := time.Now().Add(platformReady); time.Now().Before(end); {
+// printPlatformReadyLine waits until an instance is ready and prints its ready line.
+func printPlatformReadyLine(ctx context.Context, node *topology.Node, o Options) error {
+	for deadline := time.Now().Add(platformReadyTimeout); time.Now().Before(deadline); {
 		res, err := http.Get("http://" + node.HealthAddr + "/-/ready")
 		if err == nil {
-			_ = res.Body.Close() // the status is all that counts
+			_ = res.Body.Close() // only the status matters
 			if res.StatusCode == http.StatusOK {
 				_, err = fmt.Fprintf(o.Out, "ready url=http://%s host=%s path=%s model=%s plain=%s metrics=http://%s/metrics\n",
 					node.CallersAddr, standin.Host, standin.StreamPath, standin.BusyModel, standin.PlainPath, node.HealthAddr)
 				return errors.WithStack(err)
 			}
 		}
-		if !supervise.Pause(ctx, platformPoll) {
+		if !supervise.Pause(ctx, platformPollInterval) {
 			return nil
 		}
 	}
--- a/quickstart/quickstart.go
+++ b/quickstart/quickstart.go
@@ -1,7 +1,10 @@
-// Package quickstart runs both partners' deployments in small, in one process
-// on loopback: stand-ins for the platform, model engines and plain services,
-// and entry instances in four failure domains. It is for a first look and for
-// the tests of the whole system; nothing that it holds lasts.
+// Package quickstart runs a small version of two partners' deployments in one
+// process on loopback, for trying the program out and for tests of the whole system.
+// All state is in memory.
+//
+// Run starts a Platform, the stand-ins for the platform, model engines and plain
+// services, and an entry instance in each of four failure domains. RunPlatform runs
+// instances on stand-ins of the users' platform instead.
 package quickstart
 
 import (
@@ -16,7 +19,8 @@
 	"greengageferry/standin"
 )
 
-// The partners' names and the callers' keys of the files in partners/.
+// Names of the partners and keys of their client accounts, as the files in partners/
+// declare them.
 const (
 	FlightKitchen    = "flight-kitchen"
 	Instituto        = "instituto"
@@ -27,7 +31,7 @@
 //go:embed partners
 var partnerFiles embed.FS
 
-// Files returns the partners' files.
+// Files returns the partners' embedded configuration files.
 func Files() ([]config.File, error) {
 	var files []config.File
 	err := fs.WalkDir(partnerFiles, "partners", func(name string, entry fs.DirEntry, err error) error {
@@ -49,17 +53,17 @@
 	return files, err
 }
 
-// Domain is a failure domain of the deployment.
+// Domain is a failure domain of the deployment and the backend servers in it.
 type Domain struct {
 	Name    string
 	Region  string
-	Partner string // whose backend servers are here
-	Pool    string // its model engines
-	Engines int
-	Service string // its plain service
+	Partner string // owner of the backend servers
+	Pool    string // pool of the model engines
+	Engines int    // number of model engines
+	Service string // name of the plain service
 }
 
-// Domains are the failure domains that the partners' files speak of.
+// Domains returns the failure domains that the partners' files name.
 func Domains() []Domain {
 	return []Domain{
 		{"dock-hall-a", "nashua-valley", FlightKitchen, "galley-models", 2, "order-desk"},
@@ -69,19 +73,19 @@
 	}
 }
 
-// The sizes that the partners' files declare.
+// Sizes of the stand-ins. Memory and slots are those that the partners' files declare.
 const (
 	engineMemoryMiB = 24000
 	galleySlots     = 8
 	redatorSlots    = 6
-	// weightsMiBPerSecond makes a model of 9,000 MiB ready within half a
-	// second, so that a first run doesn't wait.
-	weightsMiBPerSecond = 20000
-	serviceWork         = 5 * time.Millisecond
+	// storeMiBPerSecond loads a model of 9,000 MiB within half a second, to keep
+	// the start of the quickstart short.
+	storeMiBPerSecond = 20000
+	serviceCallTime   = 5 * time.Millisecond
 )
 
-// storeLimits are the partners' own: about 3 loads a second with 3 at a time,
-// and 1 a second with 7 at a time.
+// storeLimits returns the load limits of the partners' weight stores: about 3 loads a
+// second with 3 at a time, and 1 a second with 7 at a time.
 func storeLimits() map[string]infra.StoreLimits {
 	return map[string]infra.StoreLimits{
 		FlightKitchen: {LoadsPerSecond: 3, ConcurrentLoads: 3},
@@ -89,8 +93,8 @@
 	}
 }
 
-// Platform is the platform's stand-ins and the backend servers, each on a
-// loopback address of its own.
+// Platform holds the stand-ins for the platform and for the backend servers, each on
+// its own loopback address.
 type Platform struct {
 	Log      *standin.Log
 	List     *standin.InstanceList
@@ -100,15 +104,15 @@
 	Servers  map[string]*standin.Server  // by id, and "log", "list" and "store"
 }
 
-// PlatformOptions change the stand-ins for a test.
+// PlatformOptions configure the stand-ins.
 type PlatformOptions struct {
-	Domains     []Domain // default Domains()
-	ListLag     time.Duration
-	History     bool // the log keeps all records for its truth
-	RestartTime time.Duration
+	Domains     []Domain      // default Domains()
+	ListLag     time.Duration // age of the instance list that readers see
+	History     bool          // the log keeps all records ever appended, for Log.Truth
+	RestartTime time.Duration // of an engine after a crash
 }
 
-// StartPlatform starts the stand-ins. Close ends them.
+// StartPlatform starts the stand-ins. Close stops them.
 func StartPlatform(opts PlatformOptions) (*Platform, error) {
 	if opts.Domains == nil {
 		opts.Domains = Domains()
@@ -116,7 +120,7 @@
 	p := &Platform{
 		Log:      standin.NewLog(standin.LogOptions{History: opts.History}),
 		List:     standin.NewInstanceList(opts.ListLag),
-		Store:    standin.NewWeightStore(standin.StoreOptions{Limits: storeLimits(), MiBPerSecond: weightsMiBPerSecond}),
+		Store:    standin.NewWeightStore(standin.StoreOptions{Limits: storeLimits(), MiBPerSecond: storeMiBPerSecond}),
 		Engines:  map[string]*standin.Engine{},
 		Services: map[string]*standin.Service{},
 		Servers:  map[string]*standin.Server{},
@@ -129,8 +133,8 @@
 }
 
 func (p *Platform) start(opts PlatformOptions) error {
-	services := map[string]standin.Standin{"log": p.Log, "list": p.List, "store": p.Store}
-	for name, s := range services {
+	standins := map[string]standin.Standin{"log": p.Log, "list": p.List, "store": p.Store}
+	for name, s := range standins {
 		if err := p.serve(name, s); err != nil {
 			return err
 		}
@@ -150,14 +154,14 @@
 		if err := p.serve(id, p.Engines[id]); err != nil {
 			return err
 		}
-		p.list(id, infra.RoleEngine, d, d.Pool, engineMemoryMiB)
+		p.register(id, infra.RoleEngine, d, d.Pool, engineMemoryMiB)
 	}
 	id := fmt.Sprintf("%s-%s-1", d.Service, d.Name)
-	p.Services[id] = standin.NewService(standin.ServiceOptions{Name: d.Service, Work: serviceWork})
+	p.Services[id] = standin.NewService(standin.ServiceOptions{Name: d.Service, Work: serviceCallTime})
 	if err := p.serve(id, p.Services[id]); err != nil {
 		return err
 	}
-	p.list(id, infra.RoleService, d, d.Service, 0)
+	p.register(id, infra.RoleService, d, d.Service, 0)
 	return nil
 }
 
@@ -177,7 +181,7 @@
 	return o
 }
 
-// serve starts a stand-in on an address of its own.
+// serve starts a stand-in on its own loopback address.
 func (p *Platform) serve(name string, s standin.Standin) error {
 	server, err := standin.Start("127.0.0.1:0", s)
 	if err != nil {
@@ -187,8 +191,8 @@
 	return nil
 }
 
-// list puts a backend server on the platform's list.
-func (p *Platform) list(id string, role infra.Role, d Domain, pool string, memoryMiB int64) {
+// register adds a backend server to the platform's instance list.
+func (p *Platform) register(id string, role infra.Role, d Domain, pool string, memoryMiB int64) {
 	p.List.Put(infra.Instance{
 		ID:            id,
 		Role:          role,
@@ -201,9 +205,9 @@
 	})
 }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (p *Platform) Close() {
 	for _, server := range p.Servers {
-		_ = server.Close() // it is the end of the process's use of it
+		_ = server.Close() // the server isn't used any more
 	}
 }
--- a/quickstart/quickstart_test.go
+++ b/quickstart/quickstart_test.go
@@ -8,7 +8,7 @@
 	"greengageferry/config"
 )
 
-func TestPartnersFilesAreAccepted(t *testing.T) {
+func TestPartnerFilesAreAccepted(t *testing.T) {
 	files, err := Files()
 	require.NoError(t, err)
 	require.Len(t, files, 8)
--- a/quickstart/run.go
+++ b/quickstart/run.go
@@ -18,34 +18,34 @@
 )
 
 const (
-	// loopback lets the system choose a port.
-	loopback = "127.0.0.1:0"
-	// peersToken is shown between the quickstart's own instances.
+	// loopbackAddr is a loopback address with a port that the system chooses.
+	loopbackAddr = "127.0.0.1:0"
+	// peersToken authenticates the quickstart's instances to each other.
 	peersToken = "quickstart-peers-token"
-	// readyEvery is how often readiness is looked at.
-	readyEvery = 50 * time.Millisecond
-	// shutdownDelay is short, since no balancer has to notice.
+	// readyPollInterval is how often readiness is polled.
+	readyPollInterval = 50 * time.Millisecond
+	// shutdownDelay is short, since no load balancer has to notice the shutdown.
 	shutdownDelay = 200 * time.Millisecond
 )
 
-// Options are what the quickstart is run with.
+// Options configure Run and RunPlatform.
 type Options struct {
-	Listen  string        // the first entry instance's address for callers; default 127.0.0.1:0
-	Wait    time.Duration // the longest to wait until it serves; default DefaultWait
-	Out     io.Writer     // gets the ready lines
+	Listen  string        // first entry instance's address for client accounts; default 127.0.0.1:0
+	Wait    time.Duration // wait for readiness at most; default DefaultWait
+	Out     io.Writer     // receives the ready lines
 	Log     logrus.FieldLogger
 	Version string
 }
 
-// DefaultWait is the longest that the quickstart waits until it serves: the
-// loads take some ten seconds within the weight stores' limits.
+// DefaultWait bounds the wait until the quickstart serves. Within the weight
+// stores' limits the loads take some ten seconds.
 const DefaultWait = 2 * time.Minute
 
-// NotReadyError says that the quickstart did not serve in time.
+// NotReadyError reports that the quickstart did not serve in time.
 type NotReadyError struct {
 	Waited  time.Duration
-	Missing []string // targets without a replica, or the reasons of an instance
-	Err     error    // the context's end if that came first, else nil
+	Missing []string // targets without a replica, and instances' reasons for not being ready
+	Err     error    // the context's error if the context ended first, else nil
 }
 
 // Error implements error.
@@ -53,14 +53,15 @@
 	return fmt.Sprintf("not serving after %s: %v", e.Waited.Round(time.Millisecond), e.Missing)
 }
 
-// Unwrap returns the context's end.
+// Unwrap returns the context's error, or nil.
 func (e *NotReadyError) Unwrap() error { return e.Err }
 
-// Run starts everything, prints one ready line for each partner once every
-// declared model, adapter and service has a replica, and serves until ctx ends.
+// Run starts the stand-ins and the entry instances, prints one ready line for each
+// partner once every declared model, adapter and service has a replica, and serves
+// until ctx ends.
 func Run(ctx context.Context, opts Options) error {
 	if opts.Listen == "" {
-		opts.Listen = loopback
+		opts.Listen = loopbackAddr
 	}
 	if opts.Wait == 0 {
 		opts.Wait = DefaultWait
@@ -74,7 +75,7 @@
 		"log":   p.Servers["log"].URL(),
 		"list":  p.Servers["list"].URL(),
 		"store": p.Servers["store"].URL(),
-	}).Info("platform started")
+	}).Info("platform stand-ins started")
 	if err := Publish(ctx, p.Log); err != nil {
 		return err
 	}
@@ -90,13 +91,13 @@
 		if err := WaitServing(groupCtx, entries, opts.Wait); err != nil {
 			return err
 		}
-		return announce(opts.Out, entries)
+		return printReadyLines(opts.Out, entries)
 	})
 	return group.Wait()
 }
 
-// newEntries makes one entry instance for each failure domain and puts it on
-// the list.
+// newEntries creates one entry instance for each failure domain and adds it to the
+// instance list.
 func (p *Platform) newEntries(opts Options) ([]*entry.Instance, error) {
 	var entries []*entry.Instance
 	for n, d := range Domains() {
@@ -115,13 +116,14 @@
 	return entries, nil
 }
 
-// Settings returns an entry instance's settings for this platform.
+// Settings returns the settings of an entry instance in failure domain d on this
+// platform.
 func (p *Platform) Settings(id string, d Domain) *settings.Settings {
 	s := settings.Default()
 	s.Instance = settings.Instance{ID: id, Region: d.Region, FailureDomain: d.Name}
 	for _, a := range []*settings.Addr{&s.Listen.Callers, &s.Listen.Peers, &s.Listen.Operators} {
-		if err := a.UnmarshalText([]byte(loopback)); err != nil {
-			panic(err) // loopback is a constant address
+		if err := a.UnmarshalText([]byte(loopbackAddr)); err != nil {
+			panic(err) // loopbackAddr is a valid constant
 		}
 	}
 	s.Platform = settings.Platform{
@@ -134,7 +136,7 @@
 	return s
 }
 
-// NewEntry makes an entry instance and puts it on the list.
+// NewEntry creates an entry instance and adds it to the instance list.
 func (p *Platform) NewEntry(s *settings.Settings, log logrus.FieldLogger, version string) (*entry.Instance, error) {
 	e, err := entry.New(entry.Options{Settings: s, Log: log, Version: version})
 	if err != nil {
@@ -151,7 +153,7 @@
 	return e, nil
 }
 
-// Publish puts the partners' files on the log as changes.
+// Publish appends the partners' files to the log as configuration changes.
 func Publish(ctx context.Context, log infra.Log) error {
 	files, err := Files()
 	if err != nil {
@@ -159,7 +161,7 @@
 	}
 	var records [][]byte
 	for n, f := range files {
-		data, err := proto.Marshal(changeOf(f, uint64(n+1)))
+		data, err := proto.Marshal(newChangeRecord(f, uint64(n+1)))
 		if err != nil {
 			return err
 		}
@@ -169,7 +171,7 @@
 	return err
 }
 
-func changeOf(f config.File, sequence uint64) *record.Record {
+func newChangeRecord(f config.File, sequence uint64) *record.Record {
 	return &record.Record{
 		Origin:   "quickstart",
 		Sequence: sequence,
@@ -182,22 +184,22 @@
 	}
 }
 
-// WaitServing waits until every instance is ready and sees a replica of every
-// target. The error is a *NotReadyError.
+// WaitServing waits until every instance is ready and sees a replica of every target.
+// After limit, or if ctx ends first, the error is a *NotReadyError.
 func WaitServing(ctx context.Context, entries []*entry.Instance, limit time.Duration) error {
-	began := time.Now()
+	started := time.Now()
 	deadline := time.NewTimer(limit)
 	defer deadline.Stop()
-	ticker := time.NewTicker(readyEvery)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
-		missing := notServing(entries)
+		missing := findMissing(entries)
 		if len(missing) == 0 {
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return &NotReadyError{Waited: time.Since(began), Missing: missing, Err: ctx.Err()}
+			return &NotReadyError{Waited: time.Since(started), Missing: missing, Err: ctx.Err()}
 		case <-deadline.C:
 			return &NotReadyError{Waited: limit, Missing: missing}
 		case <-ticker.C:
@@ -205,8 +207,9 @@
 	}
 }
 
-// notServing returns what is missing.
-func notServing(entries []*entry.Instance) []string {
+// findMissing returns the instances' reasons for not being ready and the targets
+// without a replica.
+func findMissing(entries []*entry.Instance) []string {
 	var missing []string
 	for _, e := range entries {
 		status := e.Status()
@@ -223,14 +226,15 @@
 	return missing
 }
 
-// announce prints the ready lines: a partner's is its own first instance.
-func announce(out io.Writer, entries []*entry.Instance) error {
+// printReadyLines prints one ready line per partner, with the address of the entry
+// instance in the partner's first failure domain.
+func printReadyLines(out io.Writer, entries []*entry.Instance) error {
 	lines := []struct{ partner, key, model string }{
 		{FlightKitchen, FlightKitchenKey, "tray-planner"},
 		{Instituto, InstitutoKey, "defect-describer"},
 	}
 	for _, l := range lines {
-		url := "http://" + entries[firstOf(l.partner)].CallersAddr()
+		url := "http://" + entries[firstDomainIndex(l.partner)].CallersAddr()
 		if _, err := fmt.Fprintf(out, "ready url=%s key=%s partner=%s model=%s\n", url, l.key, l.partner, l.model); err != nil {
 			return err
 		}
@@ -238,8 +242,8 @@
 	return nil
 }
 
-// firstOf returns the index of the partner's first failure domain.
-func firstOf(partner string) int {
+// firstDomainIndex returns the index of the partner's first failure domain.
+func firstDomainIndex(partner string) int {
 	for n, d := range Domains() {
 		if d.Partner == partner {
 			return n
