--- a/cmd/greengageferry/load.go
+++ b/cmd/greengageferry/load.go
@@ -42,7 +42,7 @@
 	f.StringVar(&o.Key, "key", "", "caller's key")
 	f.StringVar(&c.models, "models", "", "models to ask for, evenly, separated by commas")
 	f.Float64Var(&o.Rate, "rate", 0, "arrivals a second, at random times; 0: -concurrency callers, each sending one request after the other")
-	f.IntVar(&o.Concurrency, "concurrency", 0, fmt.Sprintf("requests in flight at most; 0: %d, or %d with -rate", load.DefaultConcurrency, load.DefaultInFlight))
+	f.IntVar(&o.Concurrency, "concurrency", 0, fmt.Sprintf("requests in flight at most; 0: %d, or %d with -rate", load.DefaultConcurrency, load.DefaultOpenLoopConcurrency))
 	f.IntVar(&o.Requests, "requests", load.DefaultRequests, "requests after which the load ends")
 	f.DurationVar(&o.Duration, "duration", load.DefaultDuration, "time after which the load ends")
 	f.IntVar(&o.PromptMin, "prompt-min", load.DefaultPromptMin, "shortest prompt, in bytes")
--- a/load/client.go
+++ b/load/client.go
@@ -14,7 +14,7 @@
 	"github.com/openai/openai-go/v3/packages/ssestream"
 )
 
-// Headers of the callers' interface.
+// HTTP headers of the client API.
 const (
 	headerTimeout       = "Greengageferry-Timeout-Ms"
 	headerNonIdempotent = "Greengageferry-Non-Idempotent"
@@ -23,67 +23,67 @@
 )
 
 const (
-	// maxAnswerBytes bounds a whole answer.
+	// maxAnswerBytes is the maximum number of bytes read of a response body.
 	maxAnswerBytes = 4 << 20
-	// answerGrace is how much longer than a request's deadline a client waits
-	// for its answer, so that a refusal at the deadline still counts.
+	// answerGrace is the time beyond a request's deadline for which the client
+	// still waits, so that a refusal sent at the deadline is counted.
 	answerGrace = 5 * time.Second
-	// doneMarker ends a stream.
+	// doneMarker is the data of the event that ends a stream.
 	doneMarker = "[DONE]"
 )
 
-// Outcome is what a caller was told of its request.
+// Outcome is the result of a request as reported to the caller.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
-	OutcomeComplete Outcome = "complete"
-	OutcomeNotRun   Outcome = "not_run"
-	OutcomeUnknown  Outcome = "unknown"
-	OutcomeOther    Outcome = "other" // no answer, or one that says none of these
+	OutcomeComplete Outcome = "complete" // the whole answer was received
+	OutcomeNotRun   Outcome = "not_run"  // an error says that no backend server ran the request
+	OutcomeUnknown  Outcome = "unknown"  // an error says that a backend server may have run the request
+	OutcomeOther    Outcome = "other"    // no answer, a broken one, or one without any of the outcomes above
 )
 
-// Request is one request for a completion.
+// Request is a completion request.
 type Request struct {
 	Model          string
 	Prompt         string
 	MaxTokens      int
-	Seed           uint64 // of the answer; 0: the instance chooses
+	Seed           uint64 // sampling seed; 0: chosen by the instance
 	Streamed       bool
 	IdempotencyKey string // empty: none
 	NonIdempotent  bool
-	Timeout        time.Duration // the request's deadline counts from when it was due
+	Timeout        time.Duration // deadline, counted from the scheduled time
 }
 
-// ServiceRequest is one POST to a plain service.
+// ServiceRequest is a POST request to a plain HTTP service.
 type ServiceRequest struct {
 	Service        string
-	Path           string // below the service, with a leading slash
+	Path           string // relative to the service, with a leading slash
 	Body           string
 	IdempotencyKey string // empty: none
-	NonIdempotent  bool   // says so itself; the service's configuration may too
+	NonIdempotent  bool   // sets the header; the service's configuration may also declare it
 	Timeout        time.Duration
 }
 
-// Answer is what a caller got.
+// Answer is the response to a request, with its latencies.
 type Answer struct {
 	Outcome    Outcome
-	Code       string // the error's, or why the outcome is other
+	Code       string // error code, or why the outcome is OutcomeOther
 	Text       string
-	Server     string          // that served it, where the answer says so
-	FirstToken time.Duration   // of a stream, from when the request was due; 0: none came
-	Gaps       []time.Duration // between a stream's tokens
-	Total      time.Duration   // from when the request was due
+	Server     string          // backend server named in the answer; empty: none
+	FirstToken time.Duration   // streams: time from the scheduled time to the first token; 0: no token
+	Gaps       []time.Duration // streams: times between consecutive tokens
+	Total      time.Duration   // time from the scheduled time to the end of the answer
 }
 
-// Client sends a caller's requests to one entry instance.
+// Client sends the requests of one caller to one entry instance.
 type Client struct {
 	HTTP *http.Client
 	URL  string // base URL
-	Key  string // the caller's
+	Key  string // the caller's API key
 }
 
-// completionBody is the JSON of a request.
+// completionBody is the JSON body of a completion request.
 type completionBody struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -92,7 +92,8 @@
 	Stream    bool   `json:"stream,omitempty"`
 }
 
-// completionChunk is what a client reads of an answer, or of a piece of one.
+// completionChunk holds the fields read from a whole answer or from one event
+// of a stream.
 type completionChunk struct {
 	Choices []struct {
 		Text         string `json:"text"`
@@ -101,13 +102,14 @@
 	Error *errorBody `json:"error"`
 }
 
-// errorBody is the callers' interface's one JSON shape of errors.
+// errorBody is the JSON form of every error of the client API.
 type errorBody struct {
 	Code    string  `json:"code"`
 	Outcome Outcome `json:"outcome"`
 }
 
-// Send sends a request that is due at the given time, and returns its answer.
+// Send sends a completion request and returns its answer. The deadline and the
+// latencies count from due, the scheduled time of the request.
 func (c *Client) Send(ctx context.Context, r Request, due time.Time) Answer {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(r.Timeout+answerGrace))
 	defer cancel()
@@ -117,14 +119,15 @@
 	return a
 }
 
-// complete sends a request and reads its answer into a.
+// complete sends a completion request, reads its answer into a, and returns the
+// outcome and the error code.
 func (c *Client) complete(ctx context.Context, r Request, due time.Time, a *Answer) (Outcome, string) {
 	body, err := json.Marshal(completionBody{Model: r.Model, Prompt: r.Prompt, MaxTokens: r.MaxTokens, Seed: r.Seed, Stream: r.Streamed})
 	if err != nil {
 		return OutcomeOther, "bad_request"
 	}
-	headers := wishes{key: r.IdempotencyKey, nonIdempotent: r.NonIdempotent, deadline: due.Add(r.Timeout)}
-	res, err := c.post(ctx, "/v1/completions", body, headers)
+	opts := requestOptions{idempotencyKey: r.IdempotencyKey, nonIdempotent: r.NonIdempotent, deadline: due.Add(r.Timeout)}
+	res, err := c.post(ctx, "/v1/completions", body, opts)
 	if err != nil {
 		return OutcomeOther, "no_answer"
 	}
@@ -133,12 +136,12 @@
 	if r.Streamed && res.StatusCode == http.StatusOK {
 		return a.readStream(res, due)
 	}
-	return a.readWhole(res)
+	return a.readCompletion(res)
 }
 
-// SendService sends a call to a plain service, due at the given time, and
-// returns its answer: complete with the body as its text if the status is a
-// success.
+// SendService sends a request to a plain HTTP service and returns its answer.
+// The deadline and the latencies count from due. An answer with a 2xx status is
+// OutcomeComplete and has the body as its text.
 func (c *Client) SendService(ctx context.Context, r ServiceRequest, due time.Time) Answer {
 	ctx, cancel := context.WithDeadline(ctx, due.Add(r.Timeout+answerGrace))
 	defer cancel()
@@ -148,9 +151,11 @@
 	return a
 }
 
+// callService sends a service request, reads its answer into a, and returns the
+// outcome and the error code.
 func (c *Client) callService(ctx context.Context, r ServiceRequest, due time.Time, a *Answer) (Outcome, string) {
-	headers := wishes{key: r.IdempotencyKey, nonIdempotent: r.NonIdempotent, deadline: due.Add(r.Timeout)}
-	res, err := c.post(ctx, "/services/"+r.Service+r.Path, []byte(r.Body), headers)
+	opts := requestOptions{idempotencyKey: r.IdempotencyKey, nonIdempotent: r.NonIdempotent, deadline: due.Add(r.Timeout)}
+	res, err := c.post(ctx, "/services/"+r.Service+r.Path, []byte(r.Body), opts)
 	if err != nil {
 		return OutcomeOther, "no_answer"
 	}
@@ -166,36 +171,36 @@
 	}
 	var chunk completionChunk
 	if json.Unmarshal(data, &chunk) == nil && chunk.Error != nil {
-		return chunk.Error.told()
+		return chunk.Error.outcomeAndCode()
 	}
 	return OutcomeOther, fmt.Sprintf("status_%d", res.StatusCode)
 }
 
-// wishes are what a request's headers ask for.
-type wishes struct {
-	key           string
-	nonIdempotent bool
-	deadline      time.Time
+// requestOptions are the options sent as request headers.
+type requestOptions struct {
+	idempotencyKey string
+	nonIdempotent  bool
+	deadline       time.Time
 }
 
-// post sends a request. Its body can't be rewound, so that net/http doesn't
-// send it twice by itself. The answer's body is bounded.
-func (c *Client) post(ctx context.Context, path string, body []byte, w wishes) (*http.Response, error) {
+// post sends a POST request. The body can't be rewound, which keeps net/http
+// from resending the request. The response body ends after maxAnswerBytes.
+func (c *Client) post(ctx context.Context, path string, body []byte, opts requestOptions) (*http.Response, error) {
 	target := strings.TrimRight(c.URL, "/") + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, target, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
 	}
 	req.ContentLength = int64(len(body))
-	left := max(time.Until(w.deadline), time.Millisecond)
+	remaining := max(time.Until(opts.deadline), time.Millisecond)
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Authorization", "Bearer "+c.Key)
-	req.Header.Set(headerTimeout, strconv.FormatInt(left.Milliseconds(), 10))
-	if w.nonIdempotent {
+	req.Header.Set(headerTimeout, strconv.FormatInt(remaining.Milliseconds(), 10))
+	if opts.nonIdempotent {
 		req.Header.Set(headerNonIdempotent, "true")
 	}
-	if w.key != "" {
-		req.Header.Set(headerKey, w.key)
+	if opts.idempotencyKey != "" {
+		req.Header.Set(headerKey, opts.idempotencyKey)
 	}
 	res, err := c.HTTP.Do(req)
 	if err != nil {
@@ -208,7 +213,9 @@
 	return res, nil
 }
 
-func (a *Answer) readWhole(res *http.Response) (Outcome, string) {
+// readCompletion reads an answer that isn't a stream, and returns its outcome
+// and error code.
+func (a *Answer) readCompletion(res *http.Response) (Outcome, string) {
 	var chunk completionChunk
 	data, err := io.ReadAll(res.Body)
 	if err != nil {
@@ -218,7 +225,7 @@
 		return OutcomeOther, fmt.Sprintf("status_%d", res.StatusCode)
 	}
 	if chunk.Error != nil {
-		return chunk.Error.told()
+		return chunk.Error.outcomeAndCode()
 	}
 	if res.StatusCode != http.StatusOK || len(chunk.Choices) == 0 || chunk.Choices[0].FinishReason == "" {
 		return OutcomeOther, fmt.Sprintf("status_%d", res.StatusCode)
@@ -227,8 +234,9 @@
 	return OutcomeComplete, ""
 }
 
-// readStream reads a stream to its marker. It is complete only if a choice
-// finished and the marker came.
+// readStream reads a stream to its done marker, and returns its outcome and
+// error code. A stream is complete only if a choice has a finish reason and the
+// marker was received.
 func (a *Answer) readStream(res *http.Response, due time.Time) (Outcome, string) {
 	events := ssestream.NewDecoder(res)
 	var text strings.Builder
@@ -248,7 +256,7 @@
 			return OutcomeOther, "broken_json"
 		}
 		if chunk.Error != nil {
-			return chunk.Error.told()
+			return chunk.Error.outcomeAndCode()
 		}
 		if len(chunk.Choices) == 0 {
 			continue
@@ -262,7 +270,8 @@
 	return OutcomeOther, "cut"
 }
 
-// token notes a token's arrival, and returns its time.
+// token adds the latency of a token that arrives now, and returns the
+// current time. last is the arrival of the previous token; zero: none.
 func (a *Answer) token(due, last time.Time) time.Time {
 	now := time.Now()
 	if last.IsZero() {
@@ -273,8 +282,9 @@
 	return now
 }
 
-// told returns what an error tells its caller.
-func (e *errorBody) told() (Outcome, string) {
+// outcomeAndCode returns the outcome and the code of an error. An outcome other
+// than not_run and unknown becomes OutcomeOther.
+func (e *errorBody) outcomeAndCode() (Outcome, string) {
 	switch e.Outcome {
 	case OutcomeNotRun, OutcomeUnknown:
 		return e.Outcome, e.Code
--- a/load/load.go
+++ b/load/load.go
@@ -7,59 +7,61 @@
 	"time"
 )
 
-// progressEvery is how often progress is told.
-const progressEvery = time.Second
+// progressInterval is the time between two calls of Options.Progress.
+const progressInterval = time.Second
 
-// Run carries out a load and returns what its callers got. It returns a
-// *UsageError for options out of bounds. When ctx ends the load ends early, and
-// requests in flight are given up.
+// Run generates a load and returns its report. It returns a *UsageError for
+// options that are out of bounds. When ctx ends, the load ends early and the
+// requests in flight are canceled.
 func Run(ctx context.Context, options Options) (*Report, error) {
 	options = options.WithDefaults()
 	if err := options.check(); err != nil {
 		return nil, err
 	}
-	client := &Client{HTTP: newClient(options.Concurrency), URL: options.URL, Key: options.Key}
+	client := &Client{HTTP: newHTTPClient(options.Concurrency), URL: options.URL, Key: options.Key}
 	defer client.HTTP.CloseIdleConnections()
 
-	// requests is unbuffered: when all callers are busy, the next request
-	// waits, and its times count from when it was due.
+	// requests is unbuffered: when all workers are busy, the next request
+	// waits. Its latencies still count from its scheduled time.
 	requests := make(chan dueRequest)
-	// samples waits when full: the collector is faster than the callers.
-	samples := make(chan Answer, options.Concurrency)
+	// Workers block when answers is full, which is rare: the collector is faster
+	// than the workers.
+	answers := make(chan Answer, options.Concurrency)
 
-	go options.arrive(ctx, requests)
-	var callers sync.WaitGroup
+	go options.generateRequests(ctx, requests)
+	var workers sync.WaitGroup
 	for range options.Concurrency {
-		callers.Go(func() { call(ctx, client, requests, samples) })
+		workers.Go(func() { runWorker(ctx, client, requests, answers) })
 	}
 	go func() {
-		callers.Wait()
-		close(samples)
+		workers.Wait()
+		close(answers)
 	}()
 	report := newReport(options)
-	report.collect(samples, options.Progress)
+	report.collect(answers, options.Progress)
 	return report, nil
 }
 
-// call is one caller: it sends one request after the other.
-func call(ctx context.Context, client *Client, requests <-chan dueRequest, samples chan<- Answer) {
+// runWorker sends one request after the other until requests is closed.
+func runWorker(ctx context.Context, client *Client, requests <-chan dueRequest, answers chan<- Answer) {
 	for r := range requests {
 		if r.due.IsZero() {
 			r.due = time.Now()
 		}
-		samples <- client.Send(ctx, r.Request, r.due)
+		answers <- client.Send(ctx, r.Request, r.due)
 	}
 }
 
-// dueRequest is a request and when it was due; zero: when a caller takes it.
+// dueRequest is a request and its scheduled time. If due is zero, the scheduled
+// time is when a worker receives the request.
 type dueRequest struct {
 	Request
 	due time.Time
 }
 
-// arrive makes the requests: at random times where a rate is given, else as
-// fast as callers take them.
-func (o Options) arrive(ctx context.Context, requests chan<- dueRequest) {
+// generateRequests sends the requests of the load to the channel: at random
+// times if a rate is set, else as fast as the workers take them.
+func (o Options) generateRequests(ctx context.Context, requests chan<- dueRequest) {
 	defer close(requests)
 	ctx, cancel := context.WithTimeout(ctx, o.Duration)
 	defer cancel()
@@ -82,7 +84,7 @@
 	}
 }
 
-// waitUntil waits for a time, and says whether it came before ctx ended.
+// waitUntil waits until t, and returns false if ctx ended first.
 func waitUntil(ctx context.Context, t time.Time) bool {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
--- a/load/load_test.go
+++ b/load/load_test.go
@@ -19,29 +19,30 @@
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 const (
-	wholeAnswer = `{"choices":[{"text":"a b","finish_reason":"stop"}]}`
-	streamStart = "data: {\"choices\":[{\"text\":\"a\"}]}\n\ndata: {\"choices\":[{\"text\":\"b\"}]}\n\n"
-	streamEnd   = "data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n"
+	completeAnswer = `{"choices":[{"text":"a b","finish_reason":"stop"}]}`
+	streamStart    = "data: {\"choices\":[{\"text\":\"a\"}]}\n\ndata: {\"choices\":[{\"text\":\"b\"}]}\n\n"
+	streamEnd      = "data: {\"choices\":[{\"text\":\"\",\"finish_reason\":\"stop\"}]}\n\ndata: [DONE]\n\n"
 )
 
-// entry answers as an entry instance would, and keeps what it was asked.
-type entry struct {
-	mu     sync.Mutex
-	bodies map[string]http.Header
-	answer func(w http.ResponseWriter, streamed bool)
+// fakeEntry stands in for an entry instance: it records the requests, and answer
+// writes the responses.
+type fakeEntry struct {
+	mu            sync.Mutex
+	headersByBody map[string]http.Header
+	answer        func(w http.ResponseWriter, streamed bool)
 }
 
-func (e *entry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (e *fakeEntry) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, _ := io.ReadAll(r.Body)
 	e.mu.Lock()
-	e.bodies[string(body)] = r.Header
+	e.headersByBody[string(body)] = r.Header
 	e.mu.Unlock()
 	e.answer(w, strings.Contains(string(body), `"stream":true`))
 }
 
-// run sends a load to an entry instance with the given answers.
-func run(t *testing.T, o Options, answer func(w http.ResponseWriter, streamed bool)) (*Report, *entry) {
-	e := &entry{bodies: map[string]http.Header{}, answer: answer}
+// runLoad runs a load against a fakeEntry with the given answers.
+func runLoad(t *testing.T, o Options, answer func(w http.ResponseWriter, streamed bool)) (*Report, *fakeEntry) {
+	e := &fakeEntry{headersByBody: map[string]http.Header{}, answer: answer}
 	s := httptest.NewServer(e)
 	defer s.Close()
 	o.URL, o.Key, o.Models = s.URL, "k", []string{"a", "b"}
@@ -51,17 +52,18 @@
 	return report, e
 }
 
-func wholeOrStreamed(w http.ResponseWriter, streamed bool) {
+// serveCompletion writes a complete answer.
+func serveCompletion(w http.ResponseWriter, streamed bool) {
 	if streamed {
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = io.WriteString(w, streamStart+streamEnd)
 		return
 	}
-	_, _ = io.WriteString(w, wholeAnswer)
+	_, _ = io.WriteString(w, completeAnswer)
 }
 
-func TestLoadCountsWhatCallersGot(t *testing.T) {
-	report, e := run(t, Options{Requests: 200, Streamed: 0.5, Keyed: 0.25, NonIdempotent: 0.25}, wholeOrStreamed)
+func TestReportCountsOutcomesAndLatencies(t *testing.T) {
+	report, e := runLoad(t, Options{Requests: 200, Streamed: 0.5, Keyed: 0.25, NonIdempotent: 0.25}, serveCompletion)
 	require.Equal(t, 200, report.Requests)
 	require.Equal(t, map[Outcome]int{OutcomeComplete: 200}, report.Outcomes)
 	require.Equal(t, 1.0, report.Attainment)
@@ -69,7 +71,7 @@
 	require.Equal(t, report.FirstToken.Count, report.BetweenTokens.Count)
 	require.InDelta(t, 100, report.FirstToken.Count, 30)
 	keyed, marked := 0, 0
-	for _, h := range e.bodies {
+	for _, h := range e.headersByBody {
 		require.Equal(t, "Bearer k", h.Get("Authorization"))
 		require.NotEmpty(t, h.Get("Greengageferry-Timeout-Ms"))
 		if h.Get("Idempotency-Key") != "" {
@@ -80,47 +82,48 @@
 			marked++
 		}
 	}
-	require.Len(t, e.bodies, 200)
+	require.Len(t, e.headersByBody, 200)
 	require.InDelta(t, 50, keyed, 25)
 	require.InDelta(t, 100, marked, 30)
 }
 
-func TestLoadIsAFunctionOfItsSeed(t *testing.T) {
+func TestSameSeedSendsSameRequests(t *testing.T) {
 	o := Options{Requests: 20, Seed: 3, Streamed: 0.5}
-	_, first := run(t, o, wholeOrStreamed)
-	_, second := run(t, o, wholeOrStreamed)
-	for body := range first.bodies {
-		require.Contains(t, second.bodies, body)
+	_, first := runLoad(t, o, serveCompletion)
+	_, second := runLoad(t, o, serveCompletion)
+	for body := range first.headersByBody {
+		require.Contains(t, second.headersByBody, body)
 	}
 }
 
-func TestLoadKeepsToItsRequestsAtARate(t *testing.T) {
-	report, _ := run(t, Options{Requests: 50, Rate: 5000}, wholeOrStreamed)
+func TestOpenLoopLoadSendsAllRequests(t *testing.T) {
+	report, _ := runLoad(t, Options{Requests: 50, Rate: 5000}, serveCompletion)
 	require.Equal(t, 50, report.Requests)
 	require.Equal(t, 50, report.Outcomes[OutcomeComplete])
 }
 
-// TestLoadBelievesNoShortAnswer gives answers that look whole and aren't, and
-// errors.
-func TestLoadBelievesNoShortAnswer(t *testing.T) {
+// TestTruncatedAndErrorAnswersAreNotComplete guards against counting an answer as
+// complete that was cut off, lacks a finish reason, carries an error or has an
+// error status.
+func TestTruncatedAndErrorAnswersAreNotComplete(t *testing.T) {
 	const refused = `{"error":{"code":"queue_full","outcome":"not_run"}}`
 	for _, c := range []struct {
-		name, whole, stream string
-		status              int
-		outcome             Outcome
-		code                string
+		name, body, stream string
+		status             int
+		outcome            Outcome
+		code               string
 	}{
 		{"cut", `{"choices":[`, streamStart, 200, OutcomeOther, ""},
 		{"no finish", `{"choices":[{"text":"a"}]}`, streamStart + "data: [DONE]\n\n", 200, OutcomeOther, ""},
 		{"unknown", `{"error":{"code":"cut","outcome":"unknown"}}`, streamStart + "data: {\"error\":{\"code\":\"cut\",\"outcome\":\"unknown\"}}\n\n", 200, OutcomeUnknown, "cut"},
 		{"refused", refused, refused, 503, OutcomeNotRun, "queue_full"},
 		{"no outcome", `{"error":{"code":"x"}}`, `{"error":{"code":"x"}}`, 503, OutcomeOther, "x"},
-		{"whole but an error status", wholeAnswer, wholeAnswer, 500, OutcomeOther, "status_500"},
+		{"whole but an error status", completeAnswer, completeAnswer, 500, OutcomeOther, "status_500"},
 	} {
 		for _, share := range []float64{0, 1} {
 			t.Run(fmt.Sprintf("%s/%g", c.name, share), func(t *testing.T) {
-				report, _ := run(t, Options{Requests: 3, Streamed: share}, func(w http.ResponseWriter, streamed bool) {
-					text := c.whole
+				report, _ := runLoad(t, Options{Requests: 3, Streamed: share}, func(w http.ResponseWriter, streamed bool) {
+					text := c.body
 					if streamed && c.status == 200 {
 						w.Header().Set("Content-Type", "text/event-stream")
 						text = c.stream
@@ -138,7 +141,7 @@
 	}
 }
 
-func TestLoadRefusesOptions(t *testing.T) {
+func TestInvalidOptionsAreRejected(t *testing.T) {
 	good := Options{URL: "http://127.0.0.1:1", Models: []string{"a"}}
 	for option, change := range map[string]func(*Options){
 		"url":            func(o *Options) { o.URL = "http://192.0.2.1:80" },
@@ -164,7 +167,7 @@
 }
 
 func TestReportIsJSON(t *testing.T) {
-	report, _ := run(t, Options{Requests: 5}, wholeOrStreamed)
+	report, _ := runLoad(t, Options{Requests: 5}, serveCompletion)
 	data, err := json.Marshal(report)
 	require.NoError(t, err)
 	var back map[string]any
--- a/load/options.go
+++ b/load/options.go
@@ -1,9 +1,11 @@
-// Package load sends a bounded load of requests to a greengageferry entry
-// instance on a loopback address, and measures what its callers get: latencies
-// as HDR percentiles, the share of requests that met their deadline, and the
-// outcomes that they were told.
+// Package load is a load generator for a greengageferry entry instance on a
+// loopback address. It measures latencies as HDR histogram percentiles, the
+// share of requests that met their deadline, and the reported outcomes.
 //
-// The load is a function of its seed: the nth request is the same in each run.
+// Run generates the requests that Options describe, sends them through a Client
+// from concurrent workers, and collects each Answer in a Report. A Client can
+// also be used alone. The nth request depends only on the options and their
+// seed, so it is the same in each run.
 package load
 
 import (
@@ -14,54 +16,58 @@
 	"time"
 )
 
-// Hard limits of a load, so that a slip of the hand can't load a machine for
-// hours.
+// Upper bounds of the options, so that a typing mistake can't keep a machine
+// busy for hours.
 const (
-	MaxRate        = 20_000 // requests a second
+	MaxRate        = 20_000 // requests per second
 	MaxConcurrency = 4096   // requests in flight
 	MaxRequests    = 5_000_000
 	MaxDuration    = time.Hour
 	MaxPromptBytes = 1 << 20
 )
 
-// Defaults.
+// Defaults of the options.
 const (
-	DefaultConcurrency = 8
-	DefaultInFlight    = 512 // bound of requests in flight where a rate is given
-	DefaultRequests    = 10_000
-	DefaultDuration    = 10 * time.Second
-	DefaultMaxTokens   = 64
-	DefaultTimeout     = 10 * time.Second
-	DefaultPromptMin   = 200
-	DefaultPromptMax   = 2000
-	DefaultPrefixes    = 8
+	DefaultConcurrency         = 8
+	DefaultOpenLoopConcurrency = 512 // requests in flight at most, if a rate is set
+	DefaultRequests            = 10_000
+	DefaultDuration            = 10 * time.Second
+	DefaultMaxTokens           = 64
+	DefaultTimeout             = 10 * time.Second
+	DefaultPromptMin           = 200
+	DefaultPromptMax           = 2000
+	DefaultPrefixes            = 8
 )
 
-// Options describe a load. Rate and Concurrency: with a rate, requests arrive
-// at random times (exponential gaps) whatever the answers take, Concurrency
-// bounds those in flight, and a request's times count from when it was due;
-// without, Concurrency callers each send one request after the other.
+// Options describe a load.
+//
+// With a Rate the load is open-loop: requests are scheduled at random times with
+// exponential gaps, however long the answers take. Concurrency bounds the
+// requests in flight, and latencies count from a request's scheduled time.
+//
+// Without a Rate the load is closed-loop: Concurrency workers each send one
+// request after the other.
 type Options struct {
-	URL           string        // of the entry instance, such as http://127.0.0.1:8080
-	Key           string        // the caller's key
-	Models        []string      // asked for evenly
-	Rate          float64       // arrivals a second; 0: none, Concurrency callers instead
+	URL           string        // base URL of the entry instance, such as http://127.0.0.1:8080
+	Key           string        // the caller's API key
+	Models        []string      // requested with equal probability
+	Rate          float64       // requests per second; 0: closed-loop
 	Concurrency   int           // requests in flight at most
-	Requests      int           // ends the load
-	Duration      time.Duration // ends the load
+	Requests      int           // number of requests after which the load ends
+	Duration      time.Duration // time after which no more requests are sent
 	PromptMin     int           // shortest prompt, in bytes
 	PromptMax     int           // longest prompt, in bytes
-	Prefixes      int           // how many prompt beginnings the requests share
-	MaxTokens     int           // of an answer
-	Timeout       time.Duration // each request's deadline, sent as Greengageferry-Timeout-Ms
-	Streamed      float64       // share of requests that ask for a stream, 0 to 1
-	Keyed         float64       // share that is non-idempotent with an Idempotency-Key
-	NonIdempotent float64       // share that is non-idempotent without a key
+	Prefixes      int           // number of distinct prompt prefixes that requests share
+	MaxTokens     int           // tokens of an answer at most
+	Timeout       time.Duration // deadline of each request, sent as Greengageferry-Timeout-Ms
+	Streamed      float64       // share of requests whose answer is streamed, 0 to 1
+	Keyed         float64       // share of non-idempotent requests with an Idempotency-Key, 0 to 1
+	NonIdempotent float64       // share of non-idempotent requests without a key, 0 to 1
 	Seed          uint64
-	Progress      func(Progress) // called about once a second; nil: never
+	Progress      func(Progress) // called about once per second; nil: never
 }
 
-// UsageError says what is wrong with an option.
+// UsageError reports an option with an invalid value.
 type UsageError struct {
 	Option  string
 	Problem string
@@ -70,13 +76,13 @@
 // Error implements error.
 func (e *UsageError) Error() string { return e.Option + ": " + e.Problem }
 
-// WithDefaults returns the options with defaults in place of zeros. Shares and
-// the rate have none.
+// WithDefaults returns the options with zero values replaced by defaults. The
+// shares, the rate and the seed have no default.
 func (o Options) WithDefaults() Options {
 	if o.Concurrency == 0 {
 		o.Concurrency = DefaultConcurrency
 		if o.Rate > 0 {
-			o.Concurrency = DefaultInFlight
+			o.Concurrency = DefaultOpenLoopConcurrency
 		}
 	}
 	setDefault(&o.Requests, DefaultRequests)
@@ -89,6 +95,7 @@
 	return o
 }
 
+// setDefault sets *p to value if *p is the zero value.
 func setDefault[T comparable](p *T, value T) {
 	var zero T
 	if *p == zero {
@@ -96,7 +103,7 @@
 	}
 }
 
-// check returns a *UsageError for the first option that is out of its bounds.
+// check returns a *UsageError for the first invalid option.
 func (o Options) check() error {
 	if err := checkURL(o.URL); err != nil {
 		return err
@@ -105,9 +112,9 @@
 		return &UsageError{Option: "models", Problem: "name at least one"}
 	}
 	for _, b := range []struct {
-		option     string
-		value      float64
-		least, top float64
+		option       string
+		value        float64
+		lower, upper float64
 	}{
 		{"rate", o.Rate, 0, MaxRate},
 		{"concurrency", float64(o.Concurrency), 1, MaxConcurrency},
@@ -122,15 +129,15 @@
 		{"keyed", o.Keyed, 0, 1},
 		{"non-idempotent", o.NonIdempotent, 0, 1 - o.Keyed},
 	} {
-		if !(b.value >= b.least && b.value <= b.top) {
-			return &UsageError{Option: b.option, Problem: fmt.Sprintf("%g is not within %g to %g", b.value, b.least, b.top)}
+		if !(b.value >= b.lower && b.value <= b.upper) {
+			return &UsageError{Option: b.option, Problem: fmt.Sprintf("%g is not within %g to %g", b.value, b.lower, b.upper)}
 		}
 	}
 	return nil
 }
 
-// checkURL refuses what isn't a loopback IP number: a load is for one's own
-// machine.
+// checkURL returns a *UsageError unless the URL is http with a loopback IP
+// address as host: a load may only be sent to the local machine.
 func checkURL(s string) error {
 	u, err := url.Parse(s)
 	if err != nil {
@@ -145,9 +152,10 @@
 	return nil
 }
 
-// newClient returns a client that goes straight to the address: no proxy from
-// the environment, no redirects.
-func newClient(connections int) *http.Client {
+// newHTTPClient returns a client that connects directly: it uses no proxy from
+// the environment and follows no redirects. connections is the number of idle
+// connections kept.
+func newHTTPClient(connections int) *http.Client {
 	return &http.Client{
 		Transport:     &http.Transport{MaxIdleConns: connections, MaxIdleConnsPerHost: connections},
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
--- a/load/report.go
+++ b/load/report.go
@@ -9,21 +9,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Bounds of the histograms: microseconds to ten minutes, three digits.
+// Range and precision of the histograms: 1 µs to 10 min, three significant
+// digits.
 const (
 	histogramMin    = 1
 	histogramMax    = 600_000_000
 	histogramDigits = 3
 )
 
-// Progress is how far a load is.
+// Progress is the state of a running load.
 type Progress struct {
 	Elapsed  time.Duration
-	Ended    int // requests
+	Ended    int // requests that have ended, with any outcome
 	Outcomes map[Outcome]int
 }
 
-// Percentiles are of one latency, in milliseconds.
+// Percentiles summarizes one latency, in milliseconds.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -33,53 +34,54 @@
 	Max   float64 `json:"max_ms"`
 }
 
-// Report is what the callers of a load got.
+// Report holds the results of a load.
 type Report struct {
 	Seconds         float64         `json:"seconds"`
 	Requests        int             `json:"requests"`
 	PerSecond       float64         `json:"requests_per_second"`
-	Attainment      float64         `json:"attainment"` // share that was complete within its deadline
+	Attainment      float64         `json:"attainment"` // share of requests that were complete within the deadline
 	Outcomes        map[Outcome]int `json:"outcomes"`
-	Errors          map[string]int  `json:"errors"`           // by the error's code
-	FirstToken      Percentiles     `json:"first_token"`      // of streams, from when the request was due
-	BetweenTokens   Percentiles     `json:"between_tokens"`   // of streams
-	Total           Percentiles     `json:"total"`            // of complete answers, from when the request was due
-	Refusal         Percentiles     `json:"refusal"`          // until a caller was told not_run
-	DeadlineSeconds float64         `json:"deadline_seconds"` // of each request
+	Errors          map[string]int  `json:"errors"`           // count by error code
+	FirstToken      Percentiles     `json:"first_token"`      // of streams, from the scheduled time
+	BetweenTokens   Percentiles     `json:"between_tokens"`   // of streams, between consecutive tokens
+	Total           Percentiles     `json:"total"`            // of complete answers, from the scheduled time
+	Refusal         Percentiles     `json:"refusal"`          // of answers with outcome not_run, from the scheduled time
+	DeadlineSeconds float64         `json:"deadline_seconds"` // deadline of each request
 	Seed            uint64          `json:"seed"`
 
-	met                            int
-	first, between, total, refusal *hdrhistogram.Histogram
-	started                        time.Time
+	metDeadline                                               int
+	firstTokenHist, betweenTokensHist, totalHist, refusalHist *hdrhistogram.Histogram
+	started                                                   time.Time
 }
 
 func newReport(o Options) *Report {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(histogramMin, histogramMax, histogramDigits) }
 	return &Report{
-		Outcomes:        map[Outcome]int{},
-		Errors:          map[string]int{},
-		DeadlineSeconds: o.Timeout.Seconds(),
-		Seed:            o.Seed,
-		first:           h(),
-		between:         h(),
-		total:           h(),
-		refusal:         h(),
-		started:         time.Now(),
+		Outcomes:          map[Outcome]int{},
+		Errors:            map[string]int{},
+		DeadlineSeconds:   o.Timeout.Seconds(),
+		Seed:              o.Seed,
+		firstTokenHist:    newHistogram(),
+		betweenTokensHist: newHistogram(),
+		totalHist:         newHistogram(),
+		refusalHist:       newHistogram(),
+		started:           time.Now(),
 	}
 }
 
-// collect takes in samples until there are no more.
-func (r *Report) collect(samples <-chan Answer, progress func(Progress)) {
-	ticker := time.NewTicker(progressEvery)
+// collect adds answers to the report until the channel is closed, and calls
+// progress about once per second if it isn't nil.
+func (r *Report) collect(answers <-chan Answer, progress func(Progress)) {
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		select {
-		case s, ok := <-samples:
+		case a, ok := <-answers:
 			if !ok {
 				r.finish()
 				return
 			}
-			r.add(s)
+			r.add(a)
 		case <-ticker.C:
 			if progress != nil {
 				progress(Progress{Elapsed: time.Since(r.started), Ended: r.Requests, Outcomes: r.Outcomes})
@@ -88,6 +90,7 @@
 	}
 }
 
+// add counts an answer.
 func (r *Report) add(a Answer) {
 	r.Requests++
 	r.Outcomes[a.Outcome]++
@@ -95,39 +98,43 @@
 		r.Errors[a.Code]++
 	}
 	if a.Outcome == OutcomeComplete && a.Total.Seconds() <= r.DeadlineSeconds {
-		r.met++
+		r.metDeadline++
 	}
 	if a.FirstToken > 0 {
-		record(r.first, a.FirstToken)
+		record(r.firstTokenHist, a.FirstToken)
 	}
 	for _, gap := range a.Gaps {
-		record(r.between, gap)
+		record(r.betweenTokensHist, gap)
 	}
 	switch a.Outcome {
 	case OutcomeComplete:
-		record(r.total, a.Total)
+		record(r.totalHist, a.Total)
 	case OutcomeNotRun:
-		record(r.refusal, a.Total)
+		record(r.refusalHist, a.Total)
 	}
 }
 
+// record adds a latency to a histogram, limited to the histogram's range.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// Within the bounds RecordValue can't fail.
+	// RecordValue can't fail for a value within the range.
 	_ = h.RecordValue(min(max(d.Microseconds(), histogramMin), histogramMax))
 }
 
+// finish computes the rates and percentiles when the load has ended.
 func (r *Report) finish() {
 	r.Seconds = time.Since(r.started).Seconds()
 	r.PerSecond = float64(r.Requests) / r.Seconds
 	if r.Requests > 0 {
-		r.Attainment = float64(r.met) / float64(r.Requests)
+		r.Attainment = float64(r.metDeadline) / float64(r.Requests)
 	}
-	r.FirstToken = percentiles(r.first)
-	r.BetweenTokens = percentiles(r.between)
-	r.Total = percentiles(r.total)
-	r.Refusal = percentiles(r.refusal)
+	r.FirstToken = percentiles(r.firstTokenHist)
+	r.BetweenTokens = percentiles(r.betweenTokensHist)
+	r.Total = percentiles(r.totalHist)
+	r.Refusal = percentiles(r.refusalHist)
 }
 
+// percentiles returns the percentiles of a histogram of microseconds; zero if
+// the histogram is empty.
 func percentiles(h *hdrhistogram.Histogram) Percentiles {
 	if h.TotalCount() == 0 {
 		return Percentiles{}
@@ -136,7 +143,7 @@
 	return Percentiles{Count: h.TotalCount(), P50: at(50), P90: at(90), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / 1000}
 }
 
-// Write prints the report for people.
+// Write prints the report as text.
 func (r *Report) Write(w io.Writer) {
 	fmt.Fprintf(w, "requests    %d in %.1f s, %.1f a second\n", r.Requests, r.Seconds, r.PerSecond)
 	fmt.Fprintf(w, "attainment  %.4f within %g s\n", r.Attainment, r.DeadlineSeconds)
