--- a/cmd/greengageferry/measure.go
+++ b/cmd/greengageferry/measure.go
@@ -40,7 +40,7 @@
 func (c *measureCommand) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.servers, "servers", "475,950,1900", "backend servers of each fleet, separated by commas")
 	f.DurationVar(&c.settle, "settle", measure.DefaultSettle, "time before the measurement")
-	f.DurationVar(&c.during, "during", measure.DefaultDuring, "time of the measurement")
+	f.DurationVar(&c.during, "during", measure.DefaultDuration, "time of the measurement")
 	f.BoolVar(&c.asJSON, "json", false, "print JSON in place of a table")
 }
 
@@ -55,7 +55,7 @@
 	defer stop()
 	var results []measure.Result
 	for _, servers := range sizes {
-		r, err := measure.Run(ctx, measure.Options{Servers: servers, Settle: c.settle, During: c.during})
+		r, err := measure.Run(ctx, measure.Options{Servers: servers, Settle: c.settle, Duration: c.during})
 		if err != nil {
 			fmt.Fprintln(os.Stderr, "measure:", err)
 			return subcommands.ExitFailure
@@ -92,7 +92,7 @@
 	fmt.Fprintln(w, "SERVERS\tREADY\tKIB TO READY\tB/S\t% OF A CORE\tHEAP MIB\t")
 	for _, r := range results {
 		fmt.Fprintf(w, "%d\t%s\t%d\t%.0f\t%.2f\t%.1f\t\n", r.Servers, r.Ready.Round(time.Millisecond), r.ReadyBytes>>10,
-			r.BytesPerSecond, 100*r.Core, float64(r.HeapBytes)/(1<<20))
+			r.BytesPerSecond, 100*r.CPUCores, float64(r.HeapBytes)/(1<<20))
 	}
 	return w.Flush()
 }
--- a/measure/fleet.go
+++ b/measure/fleet.go
@@ -13,44 +13,47 @@
 	"greengageferry/standin"
 )
 
-// The two-year size, whose proportions every measured fleet has.
+// Dimensions and rates of a simulated fleet.
 const (
-	fullServers = 1900
-	fullModels  = 870
-	fullEntries = 370
-	domains     = 9
-
-	// Each failure domain's lease is renewed three times in its 8 s.
-	leaseTime        = 8 * time.Second
+	// The reference fleet is the size expected in two years. A measured fleet
+	// keeps its proportions of models and entry instances to backend servers.
+	referenceServers = 1900
+	referenceModels  = 870
+	referenceEntries = 370
+	domainCount      = 9
+
+	// The lease of each failure domain is renewed three times per lease duration.
+	leaseDuration    = 8 * time.Second
 	renewalsPerLease = 3
-	// movesPerSecond over all failure domains is what both weight stores
-	// together allow.
+	// movesPerSecond is the rate of model moves over all failure domains: as
+	// many as both weight stores together allow.
 	movesPerSecond = 4
 
-	memoryMiB = 80000
-	modelMiB  = 20000
-	slots     = 16
-	// nowhere is an address on which nobody listens.
-	nowhere = "127.0.0.1:1"
-	pool    = "pool"
-	version = "v1"
+	serverMemoryMiB = 80000
+	modelMiB        = 20000
+	slotsPerServer  = 16
+	// unreachableAddr is an address without a listener.
+	unreachableAddr = "127.0.0.1:1"
+	poolName        = "pool"
+	modelVersion    = "v1"
 )
 
-// fleet is a platform whose log and list hold a fleet of some size, served on
-// loopback. Instances that don't run hold every lease.
+// fleet simulates a fleet: stand-ins for the platform's services, served on
+// loopback, whose log and instance list describe the fleet. Its entry instances
+// and backend servers don't run. Entry instances that don't run hold every lease.
 type fleet struct {
 	servers   int
 	log       *standin.Log
-	running   map[string]*standin.Server
-	sequences map[string]uint64 // by stream
+	standins  map[string]*standin.Server // by name: log, list or store
+	sequences map[string]uint64          // number of the last record, by stream
 }
 
-// newFleet fills a platform and serves it. close ends it.
+// newFleet fills the stand-ins and serves them until close.
 func newFleet(ctx context.Context, servers int) (*fleet, error) {
 	f := &fleet{
 		servers:   servers,
 		log:       standin.NewLog(standin.LogOptions{AppendsPerSecond: 1e6}),
-		running:   map[string]*standin.Server{},
+		standins:  map[string]*standin.Server{},
 		sequences: map[string]uint64{},
 	}
 	list := standin.NewInstanceList(0)
@@ -69,53 +72,56 @@
 			f.close()
 			return nil, err
 		}
-		f.running[name] = server
+		f.standins[name] = server
 	}
 	return f, nil
 }
 
 func (f *fleet) close() {
-	for _, server := range f.running {
-		_ = server.Close() // it is the end of the process's use of it
+	for _, server := range f.standins {
+		_ = server.Close() // the stand-in isn't used again
 	}
 }
 
-func domainName(n int) string { return fmt.Sprintf("domain-%d", n%domains) }
+func domainName(n int) string { return fmt.Sprintf("domain-%d", n%domainCount) }
 func serverName(n int) string { return fmt.Sprintf("server-%04d", n) }
 func entryName(n int) string  { return fmt.Sprintf("entry-%04d", n) }
 func modelName(n int) string  { return fmt.Sprintf("model-%03d", n) }
 
-// scaled returns n in the fleet's proportion to the full size, at least 1.
-func (f *fleet) scaled(n int) int { return max(n*f.servers/fullServers, 1) }
+// scale returns n, a number of the reference fleet, in proportion to the size of
+// this fleet; at least 1.
+func (f *fleet) scale(n int) int { return max(n*f.servers/referenceServers, 1) }
 
+// fillList puts the backend servers and the entry instances on the instance list.
 func (f *fleet) fillList(list *standin.InstanceList) {
-	instance := infra.Instance{State: infra.StateLive, Region: "region", Addr: nowhere}
+	instance := infra.Instance{State: infra.StateLive, Region: "region", Addr: unreachableAddr}
 	for n := range f.servers {
 		instance.ID, instance.FailureDomain = serverName(n), domainName(n)
-		instance.Role, instance.Pool, instance.MemoryMiB = infra.RoleEngine, pool, memoryMiB
+		instance.Role, instance.Pool, instance.MemoryMiB = infra.RoleEngine, poolName, serverMemoryMiB
 		list.Put(instance)
 	}
-	for n := range f.scaled(fullEntries) {
+	for n := range f.scale(referenceEntries) {
 		instance.ID, instance.FailureDomain = entryName(n), domainName(n)
 		instance.Role, instance.Pool, instance.MemoryMiB = infra.RoleEntry, "", 0
 		list.Put(instance)
 	}
 }
 
-// fillLog puts the configuration, the leases and each server's model on the log.
+// fillLog appends the configuration, the lease claims and each server's model
+// assignment to the log.
 func (f *fleet) fillLog(ctx context.Context) error {
 	change := &record.ConfigChange{File: "10.toml", Partner: "partner", Author: "author", Content: []byte(f.configuration())}
-	offset, err := f.put(ctx, infra.StreamConfig, &record.Record{Body: &record.Record_ConfigChange{ConfigChange: change}})
+	offset, err := f.appendRecords(ctx, infra.StreamConfig, &record.Record{Body: &record.Record_ConfigChange{ConfigChange: change}})
 	if err != nil {
 		return err
 	}
 	verdict := &record.ConfigVerdict{Change: uint64(offset), Accepted: true}
-	if _, err := f.put(ctx, infra.StreamConfig, &record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: verdict}}); err != nil {
+	if _, err := f.appendRecords(ctx, infra.StreamConfig, &record.Record{Body: &record.Record_ConfigVerdict{ConfigVerdict: verdict}}); err != nil {
 		return err
 	}
-	for n := range domains {
-		claim := &record.LeaseClaim{Holder: entryName(n), DurationMs: uint32(leaseTime.Milliseconds())}
-		if _, err := f.put(ctx, infra.ControlStream(domainName(n)), &record.Record{Body: &record.Record_LeaseClaim{LeaseClaim: claim}}); err != nil {
+	for n := range domainCount {
+		claim := &record.LeaseClaim{Holder: entryName(n), DurationMs: uint32(leaseDuration.Milliseconds())}
+		if _, err := f.appendRecords(ctx, infra.ControlStream(domainName(n)), &record.Record{Body: &record.Record_LeaseClaim{LeaseClaim: claim}}); err != nil {
 			return err
 		}
 	}
@@ -127,42 +133,47 @@
 	return nil
 }
 
-// configuration returns a partner's file with one pool and all models.
+// configuration returns a partner's configuration file with one pool and all
+// models.
 func (f *fleet) configuration() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "[pools.%s]\nservers = %d\nmemory_mib = %d\nslots = %d\nfailure_domains = [", pool, f.servers, memoryMiB, slots)
-	for n := range domains {
+	fmt.Fprintf(&text, "[pools.%s]\nservers = %d\nmemory_mib = %d\nslots = %d\nfailure_domains = [", poolName, f.servers, serverMemoryMiB, slotsPerServer)
+	for n := range domainCount {
 		fmt.Fprintf(&text, "%q, ", domainName(n))
 	}
 	text.WriteString("]\n")
-	for n := range f.scaled(fullModels) {
-		fmt.Fprintf(&text, "[models.%s]\nversion = %q\npools = [%q]\nmib = %d\n", modelName(n), version, pool, modelMiB)
+	for n := range f.scale(referenceModels) {
+		fmt.Fprintf(&text, "[models.%s]\nversion = %q\npools = [%q]\nmib = %d\n", modelName(n), modelVersion, poolName, modelMiB)
 	}
 	return text.String()
 }
 
-// claimed is the offset of each stream's lease: its first record.
-const claimed = 1
+// leaseOffset is the offset of the lease claim in each control stream. The claim
+// is the stream's first record.
+const leaseOffset = 1
 
-// assign gives a server a model and says that it is ready.
+// assign appends the assignment of a model to a server, and the server's
+// readiness for the model.
 func (f *fleet) assign(ctx context.Context, server, model int) error {
-	items := []*record.Item{{Model: modelName(model % f.scaled(fullModels)), Version: version, Mib: modelMiB}}
-	assignment := &record.Assignment{Lease: claimed, Server: serverName(server), Pool: pool, MemoryMib: memoryMiB, Items: items}
-	readiness := &record.Readiness{Lease: claimed, Server: serverName(server), Boot: "1", Items: items}
-	_, err := f.put(ctx, infra.ControlStream(domainName(server)),
+	items := []*record.Item{{Model: modelName(model % f.scale(referenceModels)), Version: modelVersion, Mib: modelMiB}}
+	assignment := &record.Assignment{Lease: leaseOffset, Server: serverName(server), Pool: poolName, MemoryMib: serverMemoryMiB, Items: items}
+	readiness := &record.Readiness{Lease: leaseOffset, Server: serverName(server), Boot: "1", Items: items}
+	_, err := f.appendRecords(ctx, infra.ControlStream(domainName(server)),
 		&record.Record{Body: &record.Record_Assignment{Assignment: assignment}},
 		&record.Record{Body: &record.Record_Readiness{Readiness: readiness}})
 	return err
 }
 
+// renew appends a renewal of a failure domain's lease.
 func (f *fleet) renew(ctx context.Context, domain int) error {
-	renewal := &record.LeaseRenewal{Lease: claimed}
-	_, err := f.put(ctx, infra.ControlStream(domainName(domain)), &record.Record{Body: &record.Record_LeaseRenewal{LeaseRenewal: renewal}})
+	renewal := &record.LeaseRenewal{Lease: leaseOffset}
+	_, err := f.appendRecords(ctx, infra.ControlStream(domainName(domain)), &record.Record{Body: &record.Record_LeaseRenewal{LeaseRenewal: renewal}})
 	return err
 }
 
-// put appends records to a stream.
-func (f *fleet) put(ctx context.Context, stream string, records ...*record.Record) (infra.Offset, error) {
+// appendRecords appends records to a stream and returns the offset that the log
+// reports.
+func (f *fleet) appendRecords(ctx context.Context, stream string, records ...*record.Record) (infra.Offset, error) {
 	var encoded [][]byte
 	for _, r := range records {
 		f.sequences[stream]++
@@ -176,11 +187,11 @@
 	return f.log.Append(ctx, stream, encoded)
 }
 
-// churn renews the leases and moves models at their rates until ctx ends.
+// churn renews leases and moves models at their fixed rates until ctx ends.
 func (f *fleet) churn(ctx context.Context) error {
 	moves := time.NewTicker(time.Second / movesPerSecond)
 	defer moves.Stop()
-	renewals := time.NewTicker(leaseTime / (renewalsPerLease * domains))
+	renewals := time.NewTicker(leaseDuration / (renewalsPerLease * domainCount))
 	defer renewals.Stop()
 	for n := 0; ; n++ {
 		var err error
--- a/measure/measure.go
+++ b/measure/measure.go
@@ -1,8 +1,12 @@
-// Package measure measures what an entry instance spends on control, against a
-// fleet of a given size that is on the log and the list only: bytes at its
-// sockets, processor time and heap. The fleet has the proportions of 870 models
-// and 370 entry instances to 1,900 backend servers in nine failure domains;
-// leases are renewed and models moved as fast as the weight stores allow.
+// Package measure measures the control-plane overhead of an entry instance by
+// fleet size: bytes at its sockets, CPU time and heap.
+//
+// Run starts one entry instance against a simulated fleet, which exists only in
+// the log and the instance list of stand-ins for the platform. The fleet has the
+// proportions of 870 models and 370 entry instances to 1,900 backend servers in
+// nine failure domains. While Run measures, leases are renewed and models are
+// moved as fast as the weight stores allow. Options set the fleet's size and the
+// times, and Result holds the figures.
 package measure
 
 import (
@@ -25,36 +29,36 @@
 )
 
 const (
-	// DefaultSettle is the time until what comes with the start is over: a
-	// follower's first 16 reads come without their distance of 6 s.
+	// DefaultSettle is the time for the effects of startup to end: the first
+	// 16 reads of another failure domain's stream are not yet spaced 6 s apart.
 	DefaultSettle = 45 * time.Second
-	// DefaultDuring is how long is measured.
-	DefaultDuring = 20 * time.Second
+	// DefaultDuration is the length of the measurement.
+	DefaultDuration = 20 * time.Second
 
-	loopback  = "127.0.0.1:0"
-	token     = "a token of the peers"
-	readyTime = time.Minute
-	readyPoll = 10 * time.Millisecond
+	loopback          = "127.0.0.1:0"
+	peerToken         = "a token of the peers"
+	readyTimeout      = time.Minute
+	readyPollInterval = 10 * time.Millisecond
 )
 
-// Options say what to measure.
+// Options describe a measurement.
 type Options struct {
-	Servers int           // backend servers of the fleet
-	Settle  time.Duration // before the measurement
-	During  time.Duration // of the measurement
+	Servers  int           // number of backend servers in the fleet
+	Settle   time.Duration // time between readiness and the measurement
+	Duration time.Duration // length of the measurement
 }
 
-// Result is what an instance that holds no lease spent.
+// Result is the resource use of an entry instance that holds no lease.
 type Result struct {
 	Servers        int           `json:"servers"`
-	Ready          time.Duration `json:"ready_ns"`    // from the start to a replica of every model
-	ReadyBytes     int64         `json:"ready_bytes"` // at its sockets until then
+	Ready          time.Duration `json:"ready_ns"`    // time from the start until the instance knows a replica of every model
+	ReadyBytes     int64         `json:"ready_bytes"` // bytes sent and received in that time
 	BytesPerSecond float64       `json:"bytes_per_second"`
-	Core           float64       `json:"core"`       // part of a core, the stand-ins' part included
-	HeapBytes      int64         `json:"heap_bytes"` // beyond the stand-ins'
+	CPUCores       float64       `json:"core"`       // mean number of cores in use, including use by the stand-ins
+	HeapBytes      int64         `json:"heap_bytes"` // heap in use, less that in use before the instance was created
 }
 
-// NotReadyError says that the instance did not know the whole fleet in time.
+// NotReadyError reports that the instance did not know the whole fleet in time.
 type NotReadyError struct{ Waited time.Duration }
 
 // Error implements error.
@@ -62,81 +66,83 @@
 	return "the instance doesn't know the whole fleet after " + e.Waited.String()
 }
 
-// Run measures one fleet.
+// Run measures an entry instance against one fleet.
 func Run(ctx context.Context, o Options) (Result, error) {
 	f, err := newFleet(ctx, o.Servers)
 	if err != nil {
 		return Result{}, err
 	}
 	defer f.close()
-	m := &measurement{options: o, fleet: f, heap: heapBytes()}
+	m := &measurement{options: o, fleet: f, baselineHeap: heapBytes()}
 	instance, err := m.newInstance()
 	if err != nil {
 		return Result{}, err
 	}
-	running, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var group errgroup.Group
-	group.Go(func() error { return instance.Run(running) })
-	result, err := m.run(running, instance, &group)
+	group.Go(func() error { return instance.Run(runCtx) })
+	result, err := m.run(runCtx, instance, &group)
 	stop()
-	if ended := group.Wait(); err == nil {
-		err = ended
+	if groupErr := group.Wait(); err == nil {
+		err = groupErr
 	}
 	return result, err
 }
 
-// measurement is one run.
+// measurement is the state of one run.
 type measurement struct {
-	options Options
-	fleet   *fleet
-	wire    wire
-	heap    int64 // before there was an instance
+	options      Options
+	fleet        *fleet
+	traffic      traffic
+	baselineHeap int64 // heap in use before the instance was created
 }
 
+// run waits until the instance is ready, lets the startup effects end, and
+// measures.
 func (m *measurement) run(ctx context.Context, instance *entry.Instance, group *errgroup.Group) (Result, error) {
 	r := Result{Servers: m.options.Servers}
-	began := time.Now()
-	if err := awaitReady(ctx, instance, m.fleet.scaled(fullModels)); err != nil {
+	started := time.Now()
+	if err := awaitReady(ctx, instance, m.fleet.scale(referenceModels)); err != nil {
 		return r, err
 	}
-	r.Ready, r.ReadyBytes = time.Since(began), m.wire.bytes.Load()
+	r.Ready, r.ReadyBytes = time.Since(started), m.traffic.bytes.Load()
 	group.Go(func() error { return m.fleet.churn(ctx) })
 	if !supervise.Pause(ctx, m.options.Settle) {
 		return r, ctx.Err()
 	}
-	bytes, cpu, start := m.wire.bytes.Load(), processorTime(), time.Now()
-	if !supervise.Pause(ctx, m.options.During) {
+	bytes, cpu, start := m.traffic.bytes.Load(), cpuTime(), time.Now()
+	if !supervise.Pause(ctx, m.options.Duration) {
 		return r, ctx.Err()
 	}
-	passed := time.Since(start).Seconds()
-	r.BytesPerSecond = float64(m.wire.bytes.Load()-bytes) / passed
-	r.Core = (processorTime() - cpu).Seconds() / passed
-	r.HeapBytes = heapBytes() - m.heap
+	elapsed := time.Since(start).Seconds()
+	r.BytesPerSecond = float64(m.traffic.bytes.Load()-bytes) / elapsed
+	r.CPUCores = (cpuTime() - cpu).Seconds() / elapsed
+	r.HeapBytes = heapBytes() - m.baselineHeap
 	return r, nil
 }
 
-// newInstance makes an instance of the first failure domain, which isn't one of
-// those that hold the leases.
+// newInstance returns an instance in the first failure domain. The instance is
+// not one of those that hold the leases.
 func (m *measurement) newInstance() (*entry.Instance, error) {
 	s := settings.Default()
-	s.Instance = settings.Instance{ID: entryName(domains), Region: "region", FailureDomain: domainName(0)}
+	s.Instance = settings.Instance{ID: entryName(domainCount), Region: "region", FailureDomain: domainName(0)}
 	for _, a := range []*settings.Addr{&s.Listen.Callers, &s.Listen.Peers, &s.Listen.Operators} {
 		if err := a.UnmarshalText([]byte(loopback)); err != nil {
 			return nil, err
 		}
 	}
-	s.Peers.Token = token
+	s.Peers.Token = peerToken
 	s.Timing.ShutdownDelay = settings.Duration(time.Millisecond)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return entry.New(entry.Options{Settings: s, Version: "measure", Log: log, Platform: m.platform()})
 }
 
-// platform returns clients whose bytes are counted.
+// platform returns clients of the stand-ins whose traffic is counted.
 func (m *measurement) platform() entry.Platform {
-	client := m.wire.client()
-	url := func(name string) string { return m.fleet.running[name].URL() }
+	client := m.traffic.client()
+	url := func(name string) string { return m.fleet.standins[name].URL() }
 	return entry.Platform{
 		Log:       infra.NewHTTPLog(url("log"), client),
 		Instances: infra.NewHTTPInstances(url("list"), client),
@@ -146,24 +152,25 @@
 	}
 }
 
-// awaitReady waits until the instance is ready and sees a replica of each model.
+// awaitReady waits until the instance is ready and knows a replica of each model.
+// It returns a *NotReadyError after readyTimeout.
 func awaitReady(ctx context.Context, instance *entry.Instance, models int) error {
-	deadline := time.Now().Add(readyTime)
+	deadline := time.Now().Add(readyTimeout)
 	for {
-		if instance.Ready() && placed(instance.Status().Targets) >= models {
+		if instance.Ready() && countWithReplicas(instance.Status().Targets) >= models {
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return &NotReadyError{Waited: readyTime}
+			return &NotReadyError{Waited: readyTimeout}
 		}
-		if !supervise.Pause(ctx, readyPoll) {
+		if !supervise.Pause(ctx, readyPollInterval) {
 			return ctx.Err()
 		}
 	}
 }
 
-// placed counts the targets with a replica.
-func placed(targets []entry.TargetStatus) int {
+// countWithReplicas returns the number of targets that have a replica.
+func countWithReplicas(targets []entry.TargetStatus) int {
 	n := 0
 	for _, t := range targets {
 		if t.Replicas > 0 {
@@ -173,29 +180,32 @@
 	return n
 }
 
-// wire counts the bytes of all connections that it dials, both ways.
-type wire struct{ bytes atomic.Int64 }
+// traffic counts the bytes sent and received on all connections that its
+// client dials.
+type traffic struct{ bytes atomic.Int64 }
 
-type wireConn struct {
+// countingConn adds the bytes read and written to a traffic counter.
+type countingConn struct {
 	net.Conn
-	wire *wire
+	traffic *traffic
 }
 
 // Read implements net.Conn.
-func (c *wireConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
-	c.wire.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *wireConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
-	c.wire.bytes.Add(int64(n))
+	c.traffic.bytes.Add(int64(n))
 	return n, err
 }
 
-func (w *wire) client() *http.Client {
+// client returns an HTTP client whose connections are counted.
+func (t *traffic) client() *http.Client {
 	dialer := &net.Dialer{}
 	return &http.Client{Transport: &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -203,11 +213,12 @@
 			if err != nil {
 				return nil, err
 			}
-			return &wireConn{Conn: conn, wire: w}, nil
+			return &countingConn{Conn: conn, traffic: t}, nil
 		},
 	}}
 }
 
+// heapBytes returns the heap in use after a garbage collection, in bytes.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -215,11 +226,11 @@
 	return int64(m.HeapAlloc)
 }
 
-// processorTime returns what the process has used.
-func processorTime() time.Duration {
+// cpuTime returns the user and system CPU time that the process has used.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
-		return 0 // it never fails for the own process
+		return 0 // Getrusage never fails for the calling process
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
