--- a/soak/callers.go
+++ b/soak/callers.go
@@ -14,144 +14,149 @@
 )
 
 const (
-	// callersCount is how many callers ask at once, each for one request at a
-	// time over a connection of its own.
-	callersCount = 24
-	// callerPause is between two requests of a caller.
+	// callerCount is the number of concurrent callers. Each sends one request at a time over
+	// its own connection.
+	callerCount = 24
+	// callerPause is the time between two requests of a caller.
 	callerPause = 20 * time.Millisecond
-	// callerTimeout is how long a caller waits for its answer.
+	// callerTimeout is how long a caller waits for an answer.
 	callerTimeout = 4 * time.Second
-	// callerLeaves is the share of the requests whose caller leaves early, after
-	// leavesAfter.
-	callerLeaves = 0.04
-	leavesAfter  = 40 * time.Millisecond
-	// balancerEvery is how often the balancer asks an instance for its health.
-	balancerEvery = 250 * time.Millisecond
-	// balancerFails is how many failed checks in a row take an instance out.
-	balancerFails = 2
+	// cancelShare is the share of requests that callers cancel, cancelDelay after sending.
+	cancelShare = 0.04
+	cancelDelay = 40 * time.Millisecond
+	// healthCheckInterval is the time between the load balancer's health checks of an instance.
+	healthCheckInterval = 250 * time.Millisecond
+	// unhealthyThreshold is the number of consecutive failed health checks after which an
+	// instance gets no new connections.
+	unhealthyThreshold = 2
 )
 
-// crowd is the callers, and the balancer before the instances.
-type crowd struct {
-	world  *World
-	serial atomic.Int64
-	ready  []atomic.Bool // by instance
-	group  sync.WaitGroup
+// loadGenerator simulates the callers and the load balancer in front of the instances.
+type loadGenerator struct {
+	deployment   *Deployment
+	requestCount atomic.Int64
+	ready        []atomic.Bool // by index of the instance: the load balancer considers it ready
+	group        sync.WaitGroup
 }
 
-func newCrowd(w *World) *crowd { return &crowd{world: w, ready: make([]atomic.Bool, len(w.Instances))} }
+func newLoadGenerator(d *Deployment) *loadGenerator {
+	return &loadGenerator{deployment: d, ready: make([]atomic.Bool, len(d.Instances))}
+}
 
-// run starts the callers and the balancer, which go on until ctx ends.
-func (c *crowd) run(ctx context.Context, seed uint64) {
-	for n := range c.world.Instances {
-		c.group.Go(func() { c.balance(ctx, n) })
+// run starts the callers and the load balancer's health checks, which run until ctx ends.
+func (g *loadGenerator) run(ctx context.Context, seed uint64) {
+	for n := range g.deployment.Instances {
+		g.group.Go(func() { g.checkHealth(ctx, n) })
 	}
-	for n := range callersCount {
+	for n := range callerCount {
 		rng := rand.New(rand.NewPCG(seed, uint64(n)+1))
-		c.group.Go(func() { c.ask(ctx, rng) })
+		g.group.Go(func() { g.runCaller(ctx, rng) })
 	}
 }
 
-// balance checks one instance's health.
-func (c *crowd) balance(ctx context.Context, n int) {
+// checkHealth checks the health of instance n periodically until ctx ends.
+func (g *loadGenerator) checkHealth(ctx context.Context, n int) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	failed := 0
 	for ctx.Err() == nil {
-		if c.world.Instances[n].Ready(ctx, client) {
+		if g.deployment.Instances[n].Ready(ctx, client) {
 			failed = 0
-			c.ready[n].Store(true)
-		} else if failed++; failed >= balancerFails {
-			c.ready[n].Store(false)
+			g.ready[n].Store(true)
+		} else if failed++; failed >= unhealthyThreshold {
+			g.ready[n].Store(false)
 		}
-		time.Sleep(balancerEvery)
+		time.Sleep(healthCheckInterval)
 	}
 }
 
-// pick returns an instance that the balancer thinks ready, -1 if there is none.
-func (c *crowd) pick(rng *rand.Rand) int {
-	from := rng.IntN(len(c.ready))
-	for n := range c.ready {
-		if at := (from + n) % len(c.ready); c.ready[at].Load() {
-			return at
+// pickInstance returns the index of an instance that the load balancer considers ready, or -1
+// if there is none.
+func (g *loadGenerator) pickInstance(rng *rand.Rand) int {
+	from := rng.IntN(len(g.ready))
+	for n := range g.ready {
+		if index := (from + n) % len(g.ready); g.ready[index].Load() {
+			return index
 		}
 	}
 	return -1
 }
 
-// ask is one caller: it keeps its connection as long as that lasts.
-func (c *crowd) ask(ctx context.Context, rng *rand.Rand) {
+// runCaller runs one caller until ctx ends. It keeps its connection to an instance until a
+// request fails.
+func (g *loadGenerator) runCaller(ctx context.Context, rng *rand.Rand) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1, DisableCompression: true}
 	defer transport.CloseIdleConnections()
-	at := -1
+	instance := -1
 	for ctx.Err() == nil {
-		if at < 0 {
-			if at = c.pick(rng); at < 0 {
-				time.Sleep(balancerEvery)
+		if instance < 0 {
+			if instance = g.pickInstance(rng); instance < 0 {
+				time.Sleep(healthCheckInterval)
 				continue
 			}
 		}
-		r := c.send(transport, rng, at)
-		c.world.History.ended(r)
+		r := g.send(transport, rng, instance)
+		g.deployment.History.addResult(r)
 		if r.Err != nil || r.Status/100 != 2 {
-			at = -1
+			instance = -1
 			transport.CloseIdleConnections()
 		}
 		time.Sleep(callerPause)
 	}
 }
 
-// next returns what a caller asks for next.
-func (c *crowd) next(rng *rand.Rand) (standin.Ask, Kind) {
-	id := fmt.Sprint("r", c.serial.Add(1))
-	ask := standin.Ask{ID: id, Method: http.MethodPost, Body: "body of " + id, Timeout: callerTimeout}
+// nextRequest returns a random request with a new id.
+func (g *loadGenerator) nextRequest(rng *rand.Rand) (standin.Ask, Kind) {
+	id := fmt.Sprint("r", g.requestCount.Add(1))
+	req := standin.Ask{ID: id, Method: http.MethodPost, Body: "body of " + id, Timeout: callerTimeout}
 	switch p := rng.Float64(); {
 	case p < 0.4:
-		ask.Path = standin.PlainPath + id
-		return ask, KindUnsafe
+		req.Path = standin.PlainPath + id
+		return req, KindUnsafe
 	case p < 0.5:
-		ask.Path = standin.VersionPath(c.world.Version()) + id
-		return ask, KindSafe
+		req.Path = standin.VersionPath(g.deployment.ConfigVersion()) + id
+		return req, KindSafe
 	case p < 0.6:
-		ask.Model = standin.RareModel
+		req.Model = standin.RareModel
 	default:
-		ask.Model = standin.BusyModel
+		req.Model = standin.BusyModel
 	}
-	ask.Path = standin.StreamPath + id
-	return ask, KindStream
+	req.Path = standin.StreamPath + id
+	return req, KindStream
 }
 
-// send sends one request and reads its answer.
-func (c *crowd) send(transport http.RoundTripper, rng *rand.Rand, at int) Result {
-	p := c.world.Instances[at]
+// send sends a random request to the instance at an index and returns the result.
+func (g *loadGenerator) send(transport http.RoundTripper, rng *rand.Rand, instance int) Result {
+	p := g.deployment.Instances[instance]
 	timeout := callerTimeout
-	if rng.Float64() < callerLeaves {
-		timeout = leavesAfter
+	if rng.Float64() < cancelShare {
+		timeout = cancelDelay
 	}
-	ask, kind := c.next(rng)
-	r := Result{Ask: ask, Kind: kind, Instance: p.Node.Name, Boot: p.Boot(), Sent: time.Now()}
-	r.ask(transport, p.Callers.Addr, timeout)
+	request, kind := g.nextRequest(rng)
+	r := Result{Ask: request, Kind: kind, Instance: p.Node.Name, Boot: p.Boot(), Sent: time.Now()}
+	r.request(transport, p.CallerLink.Addr, timeout)
 	return r
 }
 
-// read takes in an answer.
-func (r *Result) read(res *http.Response, err error) error {
+// readResponse records a response. It returns the error of sending the request or of reading
+// the body.
+func (r *Result) readResponse(res *http.Response, err error) error {
 	if err != nil {
 		return err
 	}
 	defer res.Body.Close()
 	r.Status = res.StatusCode
-	r.Answers, r.Server = standin.Answer(res)
-	r.Limited, r.Leaving = standin.NamesRateLimit(res), standin.ReportsLeaving(res)
+	r.EchoedID, r.Server = standin.Answer(res)
+	r.RateLimited, r.Leaving = standin.NamesRateLimit(res), standin.ReportsLeaving(res)
 	body, err := io.ReadAll(res.Body)
 	r.Body = string(body)
 	return err
 }
 
-// probe sends one request over a connection of its own.
-func (w *World) probe(p *Process, path, model string) Result {
+// probe sends one request to an instance over a new connection and records the result.
+func (d *Deployment) probe(p *Process, path, model string) Result {
 	transport := &http.Transport{DisableKeepAlives: true, DisableCompression: true}
-	id := fmt.Sprint("probe", w.probes.Add(1))
+	id := fmt.Sprint("probe", d.probeCount.Add(1))
 	r := Result{
 		Ask:  standin.Ask{ID: id, Method: http.MethodPost, Path: path + id, Model: model, Body: id, Timeout: callerTimeout},
 		Kind: KindSafe, Instance: p.Node.Name, Boot: p.Boot(), Sent: time.Now(),
@@ -162,19 +167,19 @@
 	case standin.StreamPath:
 		r.Kind = KindStream
 	}
-	r.ask(transport, p.Callers.Addr, callerTimeout)
-	w.History.ended(r)
+	r.request(transport, p.CallerLink.Addr, callerTimeout)
+	d.History.addResult(r)
 	return r
 }
 
-// ask sends the request and takes in its answer.
-func (r *Result) ask(transport http.RoundTripper, addr string, timeout time.Duration) {
+// request sends the request to addr and records the answer, or the error.
+func (r *Result) request(transport http.RoundTripper, addr string, timeout time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	req, err := r.Ask.Request(ctx, addr)
 	if err == nil {
-		req.GetBody = nil // net/http must not send it again by itself
-		err = r.read(transport.RoundTrip(req))
+		req.GetBody = nil // keeps net/http from repeating the request
+		err = r.readResponse(transport.RoundTrip(req))
 	}
 	r.Err = err
 	r.Ended = time.Now()
--- a/soak/doc.go
+++ b/soak/doc.go
@@ -1,10 +1,12 @@
-// Package soak runs instances as separate processes on one machine, between a
-// stand-in of the users' platform and callers, and injects faults from outside:
-// links that are delayed, reset, cut one way or silent, processes that are
-// stopped, suspended, killed and started again, servers that crash, come back
-// empty or leave, a store that is away or loses answers, and changes of the
-// configuration. Faults come in series and overlap. A seed decides them all.
+// Package soak runs a small deployment on one machine and injects faults into it.
+// Instances run as separate processes between simulated callers and a stand-in of the
+// users' platform, which has the store and the backend servers. The faults are links that
+// are delayed, reset, cut in one direction or silent; processes that are stopped,
+// suspended, killed and restarted; servers that crash, come back empty or leave; a store
+// that is down or loses answers; and configuration changes. Faults come one after another
+// and overlap. The seed determines all of them.
 //
-// While it runs and afterwards it checks what callers and servers saw against
-// the product's promises. The test in this package is its command line.
+// Run plays one seed in a Deployment. During the run and after it, what callers and
+// servers saw, collected in a History, is checked against rules that the product must
+// obey. The package's test is its command line.
 package soak
--- a/soak/faults.go
+++ b/soak/faults.go
@@ -12,20 +12,21 @@
 )
 
 const (
-	// faultsLeast and faultsMore bound how many faults a run has.
-	faultsLeast = 8
-	faultsMore  = 10
-	// A fault lasts between shortestFault and longestFault: from what nothing
-	// should notice to longer than the lease.
-	shortestFault = 100 * time.Millisecond
-	longestFault  = 4 * time.Second
-	// drainTime is how long a server that leaves in order stays.
+	// A run has at least minFaults and less than minFaults+faultCountRange faults of
+	// faultKinds.
+	minFaults       = 8
+	faultCountRange = 10
+	// A fault lasts between minFaultDuration, short enough to go unnoticed, and
+	// maxFaultDuration, longer than a lease.
+	minFaultDuration = 100 * time.Millisecond
+	maxFaultDuration = 4 * time.Second
+	// drainTime is how long a leaving server continues to run.
 	drainTime = 3 * time.Second
-	// limitLasts is how long a server names a rate limit: long enough to be judged,
-	// beside other faults.
-	limitLasts = 8 * time.Second
-	// limitsMost bounds how many servers do so in a run.
-	limitsMost = 2
+	// limitDuration is how long a server states a rate limit: long enough to check that the
+	// limit is respected while other faults occur.
+	limitDuration = 8 * time.Second
+	// maxLimits is the largest number of rate limits in a run.
+	maxLimits = 2
 	// refusalDuration is how long a server refuses all requests, with a Retry-After of
 	// refusalRetryAfter. A drain while the store is down lasts drainTime longer.
 	refusalDuration   = 6 * time.Second
@@ -43,85 +44,85 @@
 	maxRewriteDelay = time.Second
 )
 
-// fault is one fault from outside, at its time.
+// fault is one fault with its start and duration.
 type fault struct {
-	name string
-	at   time.Duration // since the callers began
-	last time.Duration
-	run  func(w *World, rng *rand.Rand, last time.Duration) error
-	rng  *rand.Rand
+	name     string
+	at       time.Duration // since the injection of faults began
+	duration time.Duration
+	run      func(d *Deployment, rng *rand.Rand, duration time.Duration) error
+	rng      *rand.Rand
 }
 
 // String implements fmt.Stringer.
 func (f fault) String() string {
-	return fmt.Sprintf("at=%s fault=%s lasts=%s", f.at.Round(time.Millisecond), f.name, f.last.Round(time.Millisecond))
+	return fmt.Sprintf("at=%s fault=%s lasts=%s", f.at.Round(time.Millisecond), f.name, f.duration.Round(time.Millisecond))
 }
 
-// faultKind is a kind of fault, with how often it is drawn.
+// faultKind is a kind of fault. weight is its relative frequency.
 type faultKind struct {
 	name   string
 	weight int
-	run    func(w *World, rng *rand.Rand, last time.Duration) error
+	run    func(d *Deployment, rng *rand.Rand, duration time.Duration) error
 }
 
-// kinds are the faults that may come, at any moment and more than once.
-var kinds = []faultKind{
+// faultKinds are the faults that schedule draws, at any time and possibly several times.
+var faultKinds = []faultKind{
 	{"instance killed", 3, killInstance},
 	{"instance suspended", 3, suspendInstance},
 	{"instance terminated", 3, terminateInstance},
-	{"instances terminated in turn", 1, terminateInTurn},
-	{"settings read again", 2, hangUp},
-	{"callers' link", 2, linkFault(func(w *World, rng *rand.Rand) *Proxy { return w.anyInstance(rng).Callers })},
-	{"store's link", 4, linkFault(func(w *World, rng *rand.Rand) *Proxy { return w.anyInstance(rng).Store })},
-	{"peers' link", 3, linkFault(func(w *World, rng *rand.Rand) *Proxy { return w.anyInstance(rng).Peers })},
+	{"instances restarted in turn", 1, rollingRestart},
+	{"settings read again", 2, reloadSettings},
+	{"callers' link", 2, linkFault(func(d *Deployment, rng *rand.Rand) *Proxy { return d.randomInstance(rng).CallerLink })},
+	{"store's link", 4, linkFault(func(d *Deployment, rng *rand.Rand) *Proxy { return d.randomInstance(rng).StoreLink })},
+	{"peers' link", 3, linkFault(func(d *Deployment, rng *rand.Rand) *Proxy { return d.randomInstance(rng).PeerLink })},
 	{"server's link", 5, serverLinkFault},
 	{"server crashed", 4, crashServer},
-	{"server's address used again", 2, reuseAddress},
+	{"server's address reused", 2, reuseAddress},
 	{"server replaced", 3, replaceServer},
-	{"store away", 2, storeAway},
-	{"store loses answers", 2, storeLossy},
+	{"store down", 2, takeStoreDown},
+	{"store loses answers", 2, makeStoreLossy},
 	{"configuration changed", 4, changeConfig},
 }
 
-// schedule draws a run's faults.
-func schedule(seed uint64, length time.Duration) []fault {
+// schedule draws the faults of a run, which start within period.
+func schedule(seed uint64, period time.Duration) []fault {
 	rng := rand.New(rand.NewPCG(seed, 0))
 	total := 0
-	for _, k := range kinds {
+	for _, k := range faultKinds {
 		total += k.weight
 	}
-	faults := make([]fault, faultsLeast+rng.IntN(faultsMore))
+	faults := make([]fault, minFaults+rng.IntN(faultCountRange))
 	for n := range faults {
 		at := rng.IntN(total)
 		var kind faultKind
-		for _, kind = range kinds {
+		for _, kind = range faultKinds {
 			if at -= kind.weight; at < 0 {
 				break
 			}
 		}
 		faults[n] = fault{
 			name: kind.name, run: kind.run,
-			at:   time.Duration(rng.Int64N(int64(length))),
-			last: shortestFault + time.Duration(rng.Int64N(int64(longestFault-shortestFault))),
-			rng:  rand.New(rand.NewPCG(seed, uint64(n)+1)),
+			at:       time.Duration(rng.Int64N(int64(period))),
+			duration: minFaultDuration + time.Duration(rng.Int64N(int64(maxFaultDuration-minFaultDuration))),
+			rng:      rand.New(rand.NewPCG(seed, uint64(n)+1)),
 		}
 	}
-	faults = append(faults, limits(seed, length)...)
-	faults = append(faults, drainsAndRefusals(seed, length)...)
-	return append(faults, storeRestores(seed, length)...)
+	faults = append(faults, rateLimits(seed, period)...)
+	faults = append(faults, drainsAndRefusals(seed, period)...)
+	return append(faults, storeRestores(seed, period)...)
 }
 
 // drainsAndRefusals draws faults in which instances learn only from a server's answers
 // that it is leaving or asks for a pause. Separate random sources keep a seed's other faults
 // unchanged.
-func drainsAndRefusals(seed uint64, length time.Duration) []fault {
+func drainsAndRefusals(seed uint64, period time.Duration) []fault {
 	const stream = math.MaxUint64 / 2
 	rng := rand.New(rand.NewPCG(seed, stream))
 	faults := make([]fault, rng.IntN(maxDrainsAndRefusals+1))
 	for n := range faults {
 		faults[n] = fault{
-			name: "server refuses with Retry-After", run: refuseWithRetryAfter, last: refusalDuration,
-			at:  time.Duration(rng.Int64N(int64(length))),
+			name: "server refuses with Retry-After", run: refuseWithRetryAfter, duration: refusalDuration,
+			at:  time.Duration(rng.Int64N(int64(period))),
 			rng: rand.New(rand.NewPCG(seed, stream+1+uint64(n))),
 		}
 		if rng.IntN(2) == 0 {
@@ -131,15 +132,15 @@
 	return faults
 }
 
-// limits draws the servers that name a rate limit. They are drawn for themselves, so
-// that a seed's other faults stay what they were.
-func limits(seed uint64, length time.Duration) []fault {
+// rateLimits draws faults in which a server states a rate limit. Separate random sources keep
+// a seed's other faults unchanged.
+func rateLimits(seed uint64, period time.Duration) []fault {
 	rng := rand.New(rand.NewPCG(seed, math.MaxUint64))
-	faults := make([]fault, rng.IntN(limitsMost+1))
+	faults := make([]fault, rng.IntN(maxLimits+1))
 	for n := range faults {
 		faults[n] = fault{
-			name: "server names a rate limit", run: nameLimit, last: limitLasts,
-			at:  time.Duration(rng.Int64N(int64(length))),
+			name: "server names a rate limit", run: reportRateLimit, duration: limitDuration,
+			at:  time.Duration(rng.Int64N(int64(period))),
 			rng: rand.New(rand.NewPCG(seed, math.MaxUint64-1-uint64(n))),
 		}
 	}
@@ -148,7 +149,7 @@
 
 // storeRestores draws one restore of the store from an older copy for half of the seeds.
 // Separate random sources keep a seed's other faults unchanged.
-func storeRestores(seed uint64, length time.Duration) []fault {
+func storeRestores(seed uint64, period time.Duration) []fault {
 	const stream = math.MaxUint64 / 3
 	rng := rand.New(rand.NewPCG(seed, stream))
 	if rng.IntN(2) == 0 {
@@ -156,14 +157,14 @@
 	}
 	return []fault{{
 		name: "store restored from an older copy", run: restoreStore,
-		at:   time.Duration(rng.Int64N(int64(length))),
-		last: minCopyAge + time.Duration(rng.Int64N(int64(maxCopyAge-minCopyAge))),
-		rng:  rand.New(rand.NewPCG(seed, stream+1)),
+		at:       time.Duration(rng.Int64N(int64(period))),
+		duration: minCopyAge + time.Duration(rng.Int64N(int64(maxCopyAge-minCopyAge))),
+		rng:      rand.New(rand.NewPCG(seed, stream+1)),
 	}}
 }
 
-// inject plays the faults, each at its time, and returns when all have ended.
-func inject(ctx context.Context, w *World, faults []fault) error {
+// inject runs all faults, each at its start, and returns when all have ended.
+func inject(ctx context.Context, d *Deployment, faults []fault) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, f := range faults {
 		group.Go(func() error {
@@ -172,89 +173,98 @@
 				return nil
 			case <-time.After(f.at):
 			}
-			err := f.run(w, f.rng, f.last)
-			w.History.healed()
+			err := f.run(d, f.rng, f.duration)
+			d.History.addHeal()
 			return err
 		})
 	}
 	return group.Wait()
 }
 
-func (w *World) anyInstance(rng *rand.Rand) *Process { return w.Instances[rng.IntN(len(w.Instances))] }
+// randomInstance returns an instance that rng picks.
+func (d *Deployment) randomInstance(rng *rand.Rand) *Process {
+	return d.Instances[rng.IntN(len(d.Instances))]
+}
 
-func killInstance(w *World, rng *rand.Rand, last time.Duration) error {
-	p := w.anyInstance(rng)
+// killInstance kills an instance and starts it again after the duration.
+func killInstance(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	p := d.randomInstance(rng)
 	p.Signal(syscall.SIGKILL)
-	p.AwaitEnd()
-	time.Sleep(last)
+	p.AwaitExit()
+	time.Sleep(duration)
 	return p.Start()
 }
 
-func suspendInstance(w *World, rng *rand.Rand, last time.Duration) error {
-	p := w.anyInstance(rng)
+// suspendInstance suspends an instance for the duration.
+func suspendInstance(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	p := d.randomInstance(rng)
 	start := time.Now()
 	p.Signal(syscall.SIGSTOP)
-	time.Sleep(last)
+	time.Sleep(duration)
 	p.Signal(syscall.SIGCONT)
-	w.History.disrupted(p.Node.Name, start, time.Now())
+	d.History.addDisruption(p.Node.Name, start, time.Now())
 	return nil
 }
 
-func terminateInstance(w *World, rng *rand.Rand, _ time.Duration) error {
-	return terminate(w.anyInstance(rng))
+// terminateInstance terminates an instance gracefully and starts it again.
+func terminateInstance(d *Deployment, rng *rand.Rand, _ time.Duration) error {
+	return terminateAndStart(d.randomInstance(rng))
 }
 
-func terminate(p *Process) error {
+// terminateAndStart terminates an instance gracefully and starts it again when it has exited.
+func terminateAndStart(p *Process) error {
 	p.Signal(syscall.SIGTERM)
-	p.AwaitEnd()
+	p.AwaitExit()
 	return p.Start()
 }
 
-func terminateInTurn(w *World, _ *rand.Rand, last time.Duration) error {
-	for _, p := range w.Instances {
-		if err := terminate(p); err != nil {
+// rollingRestart terminates the instances one after the other and starts each again.
+func rollingRestart(d *Deployment, _ *rand.Rand, duration time.Duration) error {
+	for _, p := range d.Instances {
+		if err := terminateAndStart(p); err != nil {
 			return err
 		}
-		time.Sleep(last / time.Duration(len(w.Instances)))
+		time.Sleep(duration / time.Duration(len(d.Instances)))
 	}
 	return nil
 }
 
-func hangUp(w *World, _ *rand.Rand, _ time.Duration) error {
-	for _, p := range w.Instances {
+// reloadSettings makes all instances read their settings again.
+func reloadSettings(d *Deployment, _ *rand.Rand, _ time.Duration) error {
+	for _, p := range d.Instances {
 		p.Signal(syscall.SIGHUP)
 	}
 	return nil
 }
 
-// linkFault disturbs a link: delayed, cut one way or both, reset once or refusing.
-func linkFault(pick func(*World, *rand.Rand) *Proxy) func(*World, *rand.Rand, time.Duration) error {
-	return func(w *World, rng *rand.Rand, last time.Duration) error {
-		disruptLink(pick(w, rng), rng, last)
+// linkFault returns a fault that disrupts the link that pick returns.
+func linkFault(pick func(*Deployment, *rand.Rand) *Proxy) func(*Deployment, *rand.Rand, time.Duration) error {
+	return func(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+		disruptLink(pick(d, rng), rng, duration)
 		return nil
 	}
 }
 
 // serverLinkFault disrupts a server's link and records the disruption for the servers
 // at that link when it starts and when it ends.
-func serverLinkFault(w *World, rng *rand.Rand, last time.Duration) error {
-	p := w.anyPlace(rng)
-	before, start := w.serverIDAt(p), time.Now()
-	disruptLink(p.link, rng, last)
-	w.History.disrupted(before, start, time.Now())
-	if after := w.serverIDAt(p); after != before {
-		w.History.disrupted(after, start, time.Now())
+func serverLinkFault(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	e := d.randomEndpoint(rng)
+	before, start := d.serverIDAt(e), time.Now()
+	disruptLink(e.link, rng, duration)
+	d.History.addDisruption(before, start, time.Now())
+	if after := d.serverIDAt(e); after != before {
+		d.History.addDisruption(after, start, time.Now())
 	}
 	return nil
 }
 
 // disruptLink delays, holds back or refuses a link's traffic for a while, or resets it once.
-func disruptLink(link *Proxy, rng *rand.Rand, last time.Duration) {
+func disruptLink(link *Proxy, rng *rand.Rand, duration time.Duration) {
 	states := []LinkState{
 		{Delay: 20*time.Millisecond + time.Duration(rng.Int64N(int64(300*time.Millisecond)))},
-		{HoldOut: true},
-		{HoldIn: true},
-		{HoldOut: true, HoldIn: true},
+		{HoldToTarget: true},
+		{HoldFromTarget: true},
+		{HoldToTarget: true, HoldFromTarget: true},
 		{Refuse: true},
 	}
 	kind := rng.IntN(len(states) + 1)
@@ -263,89 +273,95 @@
 		return
 	}
 	link.Set(states[kind])
-	time.Sleep(last)
+	time.Sleep(duration)
 	link.Set(LinkState{})
 }
 
-func crashServer(w *World, rng *rand.Rand, last time.Duration) error {
-	p := w.anyPlace(rng)
-	w.Crash(p)
-	time.Sleep(last)
-	w.Revive(p, false)
+// crashServer crashes a server and starts it again, empty, after the duration.
+func crashServer(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	e := d.randomEndpoint(rng)
+	d.Crash(e)
+	time.Sleep(duration)
+	d.Restart(e, false)
 	return nil
 }
 
-// reuseAddress crashes a server, and gives its address to one of the other
-// service for a while.
-func reuseAddress(w *World, rng *rand.Rand, last time.Duration) error {
-	p := w.anyPlace(rng)
-	for range 2 { // there and back, so that neither service runs short for good
-		w.Crash(p)
-		time.Sleep(last / 2)
-		w.Revive(p, true)
+// reuseAddress crashes a server and starts a server of the other service at its address for a
+// while.
+func reuseAddress(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	e := d.randomEndpoint(rng)
+	for range 2 { // the second time restores the service, so that neither keeps too few servers
+		d.Crash(e)
+		time.Sleep(duration / 2)
+		d.Restart(e, true)
 	}
 	return nil
 }
 
-func replaceServer(w *World, rng *rand.Rand, _ time.Duration) error {
-	w.Replace(w.anyPlace(rng), drainTime)
+// replaceServer drains a server and replaces it by a new one of the same service.
+func replaceServer(d *Deployment, rng *rand.Rand, _ time.Duration) error {
+	d.Replace(d.randomEndpoint(rng), drainTime)
 	return nil
 }
 
-// nameLimit has a server in need name a rate limit of one to six requests a second.
-func nameLimit(w *World, rng *rand.Rand, last time.Duration) error {
-	server := w.anyPlace(rng).server.Load()
+// reportRateLimit makes a server state a rate limit, as an overloaded server does, between one
+// and six requests per second.
+func reportRateLimit(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	server := d.randomEndpoint(rng).server.Load()
 	server.NameLimit(1 + 5*rng.Float64())
-	time.Sleep(last)
+	time.Sleep(duration)
 	server.NameLimit(0)
 	return nil
 }
 
 // refuseWithRetryAfter makes a server refuse all requests with a Retry-After of
 // refusalRetryAfter.
-func refuseWithRetryAfter(w *World, rng *rand.Rand, last time.Duration) error {
-	server := w.anyPlace(rng).server.Load()
+func refuseWithRetryAfter(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	server := d.randomEndpoint(rng).server.Load()
 	server.Refuse(refusalRetryAfter)
-	time.Sleep(last)
+	time.Sleep(duration)
 	server.Refuse(0)
 	return nil
 }
 
 // drainWhileStoreDown drains and replaces a server while the store is down, so that
 // instances learn only from its answers that it is leaving.
-func drainWhileStoreDown(w *World, rng *rand.Rand, last time.Duration) error {
-	w.Store.SetDown(true)
-	w.Replace(w.anyPlace(rng), drainTime+last)
-	w.Store.SetDown(false)
+func drainWhileStoreDown(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	d.Store.SetDown(true)
+	d.Replace(d.randomEndpoint(rng), drainTime+duration)
+	d.Store.SetDown(false)
 	return nil
 }
 
 // restoreStore takes the store down and restores it from a copy taken at the start of the
 // fault. The operator writes the newest configuration again after a random delay, and
 // servers write their entries again with their next heartbeats.
-func restoreStore(w *World, rng *rand.Rand, last time.Duration) error {
-	snapshot := w.Store.Snapshot()
-	time.Sleep(last)
-	w.Store.SetDown(true)
+func restoreStore(d *Deployment, rng *rand.Rand, duration time.Duration) error {
+	snapshot := d.Store.Snapshot()
+	time.Sleep(duration)
+	d.Store.SetDown(true)
 	time.Sleep(restoreDowntime)
-	w.Store.Restore(snapshot)
-	w.Store.SetDown(false)
+	d.Store.Restore(snapshot)
+	d.Store.SetDown(false)
 	time.Sleep(time.Duration(rng.Int64N(int64(maxRewriteDelay))))
-	return w.RewriteConfig()
+	return d.RewriteConfig()
 }
 
-func storeAway(w *World, _ *rand.Rand, last time.Duration) error {
-	w.Store.SetDown(true)
-	time.Sleep(last)
-	w.Store.SetDown(false)
+// takeStoreDown makes the store refuse all calls for the duration.
+func takeStoreDown(d *Deployment, _ *rand.Rand, duration time.Duration) error {
+	d.Store.SetDown(true)
+	time.Sleep(duration)
+	d.Store.SetDown(false)
 	return nil
 }
 
-func storeLossy(w *World, _ *rand.Rand, last time.Duration) error {
-	w.Store.SetLossy(true)
-	time.Sleep(last)
-	w.Store.SetLossy(false)
+// makeStoreLossy makes the store lose answers to calls of the group membership for the duration.
+func makeStoreLossy(d *Deployment, _ *rand.Rand, duration time.Duration) error {
+	d.Store.SetLossy(true)
+	time.Sleep(duration)
+	d.Store.SetLossy(false)
 	return nil
 }
 
-func changeConfig(w *World, _ *rand.Rand, _ time.Duration) error { return w.Configure() }
+// changeConfig writes the next version of the configuration.
+func changeConfig(d *Deployment, _ *rand.Rand, _ time.Duration) error { return d.WriteNextConfig() }
--- a/soak/history.go
+++ b/soak/history.go
@@ -7,48 +7,48 @@
 	"greengageferry/platform/standin"
 )
 
-// Kind is what may be done with a request.
+// Kind says whether a request may be repeated or resumed.
 type Kind int
 
 // The kinds of request.
 const (
-	KindUnsafe Kind = iota // runs once at most
-	KindSafe
-	KindStream // may be resumed
+	KindUnsafe Kind = iota // must run at most once
+	KindSafe               // may be repeated
+	KindStream             // an event stream that may be resumed
 )
 
 // Result is one request as its caller saw it.
 type Result struct {
-	Ask      standin.Ask
-	Kind     Kind
-	Instance string
-	Boot     int // of the instance's program when the request was sent
-	Sent     time.Time
-	Ended    time.Time
-	Status   int    // 0: no answer
-	Answers  string // the id of the request that the answer says it is for
-	Server   string // whose proof the answer bears
-	Limited  bool   // the answer names its server's rate limit
-	Leaving  bool   // the answer reports that its server is leaving
-	Body     string
-	Err      error // the answer didn't end in order
+	Ask         standin.Ask
+	Kind        Kind
+	Instance    string
+	Boot        int // number of starts of the instance when the request was sent
+	Sent        time.Time
+	Ended       time.Time
+	Status      int    // 0: no answer
+	EchoedID    string // request id in the answer
+	Server      string // id of the server that signed the answer; empty: the instance itself answered
+	RateLimited bool   // the answer states its server's rate limit
+	Leaving     bool   // the answer reports that its server is leaving
+	Body        string
+	Err         error // not nil if the answer is missing or did not end normally
 }
 
-// Served says whether the request got a success that ended in order.
+// Served reports whether the request succeeded and its answer ended normally.
 func (r *Result) Served() bool { return r.Err == nil && r.Status/100 == 2 }
 
-// History is what callers and servers saw. It implements standin.Observer.
+// History records what callers and servers saw during a run. It implements standin.Observer.
 type History struct {
 	mu          sync.Mutex
 	arrivals    []standin.Arrival
 	orders      []standin.Order
 	results     []Result
-	heals       []time.Time // when a link healed or a process went on
+	heals       []time.Time // ends of faults
 	disruptions []disruption
-	versions    map[int]time.Time
+	configTimes map[int]time.Time // when each configuration version was written
 }
 
-func newHistory() *History { return &History{versions: map[int]time.Time{}} }
+func newHistory() *History { return &History{configTimes: map[int]time.Time{}} }
 
 // Arrived implements standin.Observer.
 func (h *History) Arrived(a standin.Arrival) {
@@ -64,13 +64,15 @@
 	h.orders = append(h.orders, o)
 }
 
-func (h *History) ended(r Result) {
+// addResult records a request as its caller saw it.
+func (h *History) addResult(r Result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.results = append(h.results, r)
 }
 
-func (h *History) healed() {
+// addHeal records the end of a fault.
+func (h *History) addHeal() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.heals = append(h.heals, time.Now())
@@ -82,21 +84,22 @@
 	from, to time.Time
 }
 
-// disrupted records a disruption of an instance, by name, or of a server, by id.
-func (h *History) disrupted(target string, from, to time.Time) {
+// addDisruption records a disruption of an instance, by name, or of a server, by id.
+func (h *History) addDisruption(target string, from, to time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.disruptions = append(h.disruptions, disruption{target, from, to})
 }
 
-func (h *History) configured(version int) {
+// addConfigVersion records the time of writing a configuration version.
+func (h *History) addConfigVersion(version int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.versions[version] = time.Now()
+	h.configTimes[version] = time.Now()
 }
 
-// since returns the results that were sent at or after a time.
-func (h *History) since(t time.Time) []Result {
+// resultsSince returns the results of requests sent at or after a time.
+func (h *History) resultsSince(t time.Time) []Result {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Result
--- a/soak/judge.go
+++ b/soak/judge.go
@@ -11,34 +11,36 @@
 	"greengageferry/platform/standin"
 )
 
-// Violation is a promise that was broken.
+// Violation is one breach of a rule.
 type Violation struct {
-	Promise string
-	Detail  string
+	Rule   string
+	Detail string
 }
 
 // String implements fmt.Stringer.
-func (v Violation) String() string { return v.Promise + ": " + v.Detail }
+func (v Violation) String() string { return v.Rule + ": " + v.Detail }
 
 const (
-	// mostAttempts is how many servers may run a repeatable request: the routes'.
-	mostAttempts = 2
-	// mostModels is how many models fit into an engine's memory.
-	mostModels = 2
-	// thawTime is how long after a heal, or a process that went on, orders from
-	// before may still arrive.
-	thawTime = 300 * time.Millisecond
-	// regressSlack is how much later than a version was seen a request must be
-	// sent to be held to it: two requests over two connections may overtake.
-	regressSlack = 250 * time.Millisecond
-	// A server that names a rate limit may get limitRatio times what that allows in
-	// limitWindow, and limitReserve requests: from limitStable after it named it on,
-	// of the instances that have known it for toldSlack.
-	limitRatio   = 1.5
-	limitWindow  = 4 * time.Second
-	limitReserve = 5
-	limitStable  = 3 * time.Second
-	toldSlack    = 500 * time.Millisecond
+	// maxAttempts is how many servers may run a repeatable request, as set on the routes.
+	maxAttempts = 2
+	// maxModels is how many models fit into a model server's memory.
+	maxModels = 2
+	// lateOrderWindow is how long after a link has healed or a process has continued orders
+	// from before may still arrive.
+	lateOrderWindow = 300 * time.Millisecond
+	// reorderSlack is how long after a configuration version was seen a request must be sent
+	// to be checked against that version. Requests on two connections may overtake each
+	// other.
+	reorderSlack = 250 * time.Millisecond
+	// A server with a rate limit may get limitRatio times the requests that the limit
+	// allows in limitWindow, plus limitReserve requests. This applies from limitSettleTime
+	// after the server first stated the limit, to the requests of instances that have known
+	// of the limit for limitReportSlack.
+	limitRatio       = 1.5
+	limitWindow      = 4 * time.Second
+	limitReserve     = 5
+	limitSettleTime  = 3 * time.Second
+	limitReportSlack = 500 * time.Millisecond
 	// A server may still get requests that callers send within leavingGrace after the
 	// instance has passed on an answer which reports that the server is leaving.
 	leavingGrace = 2 * time.Second
@@ -48,47 +50,48 @@
 	pauseSlack       = 500 * time.Millisecond
 )
 
-// judge holds what one run showed, prepared for the checks.
-type judge struct {
+// checker checks the history of one run.
+type checker struct {
 	history    *History
-	asked      map[string]*Result           // by request
-	ran        map[string][]standin.Arrival // by request
+	resultByID map[string]*Result           // by request id
+	runsByID   map[string][]standin.Arrival // by request id: arrivals that a server ran
 	violations []Violation
 }
 
-// Judge returns each promise that a history shows broken. None of its verdicts
-// depends on how fast the machine is.
-func Judge(h *History) []Violation {
+// Check returns all violations of the rules in a history. No result depends on how fast the
+// machine is.
+func Check(h *History) []Violation {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	j := &judge{history: h, asked: map[string]*Result{}, ran: map[string][]standin.Arrival{}}
+	c := &checker{history: h, resultByID: map[string]*Result{}, runsByID: map[string][]standin.Arrival{}}
 	for n := range h.results {
-		j.asked[h.results[n].Ask.ID] = &h.results[n]
+		c.resultByID[h.results[n].Ask.ID] = &h.results[n]
 	}
 	for _, a := range h.arrivals {
-		j.arrival(a)
+		c.checkArrival(a)
 	}
 	for n := range h.results {
-		j.result(&h.results[n])
-	}
-	j.versions()
-	j.orders()
-	j.retries()
-	j.limits()
-	j.leaving()
-	j.pauses()
-	return j.violations
+		c.checkResult(&h.results[n])
+	}
+	c.checkConfigOrder()
+	c.orders()
+	c.checkRetries()
+	c.checkRateLimits()
+	c.checkLeaving()
+	c.checkRetryAfter()
+	return c.violations
 }
 
-func (j *judge) broken(promise, format string, args ...any) {
-	j.violations = append(j.violations, Violation{promise, fmt.Sprintf(format, args...)})
+// violated records a violation of a rule.
+func (c *checker) violated(rule, format string, args ...any) {
+	c.violations = append(c.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-// arrival checks one request as it reached a server.
-func (j *judge) arrival(a standin.Arrival) {
-	r := j.asked[a.Ask.ID]
+// checkArrival checks one request as it reached a server.
+func (c *checker) checkArrival(a standin.Arrival) {
+	r := c.resultByID[a.Ask.ID]
 	if r == nil {
-		j.broken("only what callers sent reaches servers", "%+v", a)
+		c.violated("only requests sent by callers reach servers", "%+v", a)
 		return
 	}
 	if !a.Ran {
@@ -97,88 +100,90 @@
 	got := a.Ask
 	got.LastEvent, got.Timeout = "", r.Ask.Timeout
 	if got != r.Ask {
-		j.broken("requests reach servers unchanged", "sent %+v, arrived %+v", r.Ask, a.Ask)
+		c.violated("requests reach servers unchanged", "sent %+v, arrived %+v", r.Ask, a.Ask)
 	}
-	if want := service(r.Kind); a.Service != want {
-		j.broken("requests are run by their route's service", "%s ran %s", a.Server, a.Ask.ID)
+	if want := expectedService(r.Kind); a.Service != want {
+		c.violated("requests are run by their route's service", "%s ran %s", a.Server, a.Ask.ID)
 	}
-	j.ran[a.Ask.ID] = append(j.ran[a.Ask.ID], a)
+	c.runsByID[a.Ask.ID] = append(c.runsByID[a.Ask.ID], a)
 }
 
-func service(k Kind) string {
+// expectedService returns the service that must run requests of a kind.
+func expectedService(k Kind) string {
 	if k == KindStream {
 		return standin.ServiceEngines
 	}
 	return standin.ServicePlain
 }
 
-// result checks one request as its caller saw it.
-func (j *judge) result(r *Result) {
-	runs := len(j.ran[r.Ask.ID])
+// checkResult checks one request as its caller saw it.
+func (c *checker) checkResult(r *Result) {
+	runs := len(c.runsByID[r.Ask.ID])
 	switch {
 	case r.Kind == KindUnsafe && runs > 1:
-		j.broken("what may not be repeated runs once", "%s ran %d times", r.Ask.ID, runs)
-	case runs > mostAttempts:
-		j.broken("attempts are bounded", "%s ran %d times", r.Ask.ID, runs)
+		c.violated("a non-idempotent request runs at most once", "%s ran %d times", r.Ask.ID, runs)
+	case runs > maxAttempts:
+		c.violated("attempts are bounded", "%s ran %d times", r.Ask.ID, runs)
 	}
 	switch r.Status {
 	case 0:
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		if r.Kind == KindUnsafe && runs > 0 {
-			j.broken("what is said not to have run didn't", "%s got %d and ran", r.Ask.ID, r.Status)
+			c.violated("requests reported as not run did not run", "%s got status %d and ran", r.Ask.ID, r.Status)
 		}
 	case http.StatusOK:
-		j.success(r)
+		c.checkSuccess(r)
 	case http.StatusNotFound:
 		if r.Kind != KindSafe {
-			j.broken("what every configuration allows isn't denied", "%s got %d", r.Ask.ID, r.Status)
+			c.violated("routes of every configuration are never denied", "%s got %d", r.Ask.ID, r.Status)
 		}
 	case http.StatusBadGateway, http.StatusGatewayTimeout:
 	default:
-		j.broken("statuses are those that are promised", "%s got %d", r.Ask.ID, r.Status)
+		c.violated("answers have only allowed status codes", "%s got %d", r.Ask.ID, r.Status)
 	}
 }
 
-// success checks a success: whose it is, and that it is whole where it looks so.
-func (j *judge) success(r *Result) {
-	if r.Answers != r.Ask.ID {
-		j.broken("answers belong to their request", "%s got the answer to %s", r.Ask.ID, r.Answers)
+// checkSuccess checks that a successful answer comes from a server that ran the request, and
+// that the answer is complete if it ended normally.
+func (c *checker) checkSuccess(r *Result) {
+	if r.EchoedID != r.Ask.ID {
+		c.violated("answers belong to their request", "%s got the answer to %s", r.Ask.ID, r.EchoedID)
 		return
 	}
 	known := false
-	for _, a := range j.ran[r.Ask.ID] {
+	for _, a := range c.runsByID[r.Ask.ID] {
 		known = known || a.Server == r.Server
 	}
 	if !known {
-		j.broken("a success is a server's own", "%s names %q", r.Ask.ID, r.Server)
+		c.violated("a success comes from a server that ran the request", "%s got an answer signed by %q, which did not run it", r.Ask.ID, r.Server)
 	}
 	if r.Kind == KindStream {
-		j.stream(r)
+		c.checkStream(r)
 		return
 	}
 	if want := standin.PlainBody(r.Server, r.Ask.Path); r.Err == nil && r.Body != want {
-		j.broken("a success is the server's whole answer", "%s got %q", r.Ask.ID, r.Body)
+		c.violated("a success is the server's complete answer", "%s got %q", r.Ask.ID, r.Body)
 	}
 }
 
-// stream checks that no event is missing, doubled or of another run.
-func (j *judge) stream(r *Result) {
+// checkStream checks that no event is missing, duplicated or from another stream.
+func (c *checker) checkStream(r *Result) {
 	events := strings.Split(r.Body, "\n\n")
-	last := len(events) - 1 // what follows the last whole event
+	last := len(events) - 1 // the part after the last complete event
 	for n, e := range events[:last] {
 		want := "id: " + strconv.Itoa(n+1) + "\ndata: " + standin.EventData(n+1)
 		if e != want {
-			j.broken("streams keep their order", "%s: event %d is %q", r.Ask.ID, n+1, e)
+			c.violated("stream events arrive in order and without gaps", "%s: event %d is %q", r.Ask.ID, n+1, e)
 			return
 		}
 	}
-	if r.Err == nil && (last != streamEvents || events[last] != "") {
-		j.broken("a stream that looks complete is", "%s ended after %d events", r.Ask.ID, last)
+	if r.Err == nil && (last != eventsPerStream || events[last] != "") {
+		c.violated("a stream that ends normally is complete", "%s ended after %d events", r.Ask.ID, last)
 	}
 }
 
-// versions checks that no start of an instance goes back to an older configuration.
-func (j *judge) versions() {
+// checkConfigOrder checks that no instance returns to an older configuration without a restart.
+func (c *checker) checkConfigOrder() {
 	type boot struct {
 		instance string
 		boot     int
@@ -188,77 +193,80 @@
 		at      time.Time
 	}
 	served := map[boot][]seen{}
-	for _, r := range j.history.results {
-		if v, ok := versionOf(r); ok && r.Served() {
+	for _, r := range c.history.results {
+		if v, ok := routeVersion(r); ok && r.Served() {
 			b := boot{r.Instance, r.Boot}
 			served[b] = append(served[b], seen{v, r.Ended})
 		}
 	}
-	for _, r := range j.history.results {
-		v, ok := versionOf(r)
+	for _, r := range c.history.results {
+		v, ok := routeVersion(r)
 		if !ok || r.Status != http.StatusNotFound {
 			continue
 		}
 		for _, s := range served[boot{r.Instance, r.Boot}] {
-			if s.version >= v && r.Sent.After(s.at.Add(regressSlack)) {
-				j.broken("configurations don't go back", "%s: %s denied %s after it had served version %d", r.Ask.ID, r.Instance, r.Ask.Path, s.version)
+			if s.version >= v && r.Sent.After(s.at.Add(reorderSlack)) {
+				c.violated("configurations never revert", "%s: %s denied %s after serving version %d", r.Ask.ID, r.Instance, r.Ask.Path, s.version)
 				break
 			}
 		}
 	}
 }
 
-// versionOf returns the version of the configuration that brought a request's route.
-func versionOf(r Result) (int, bool) {
+// routeVersion returns the version of the configuration that added a request's route.
+func routeVersion(r Result) (int, bool) {
 	var v int
 	_, err := fmt.Sscanf(r.Ask.Path, "/v%d/", &v)
 	return v, r.Kind == KindSafe && err == nil
 }
 
-// orders checks what servers were ordered: within their memory, by one holder
-// for each fencing token, and never by an older one after a newer.
-func (j *judge) orders() {
+// orders checks the orders that servers accepted: they stay within the server's memory,
+// all orders with the same fencing token have the same holder, and no order has an older
+// token than an earlier one, except for delayed orders right after a fault.
+func (c *checker) orders() {
 	holders := map[int64]string{}
 	type start struct {
 		server string
 		born   time.Time
 	}
 	newest := map[start]int64{}
-	for _, o := range j.history.orders {
-		if o.Models > mostModels {
-			j.broken("servers aren't ordered beyond their memory", "%+v", o)
+	for _, o := range c.history.orders {
+		if o.Models > maxModels {
+			c.violated("orders never exceed a server's memory", "%+v", o)
 		}
 		if h, ok := holders[o.Token]; ok && h != o.Holder {
-			j.broken("a fencing token has one holder", "%d: %s and %s", o.Token, h, o.Holder)
+			c.violated("a fencing token has one holder", "token %d: %s and %s", o.Token, h, o.Holder)
 		}
 		holders[o.Token] = o.Holder
 		at := start{o.Server, o.Born}
-		if o.Token < newest[at] && !j.justHealed(o.At) {
-			j.broken("no order of an older lease follows one of a newer", "%+v after %d", o, newest[at])
+		if o.Token < newest[at] && !c.justHealed(o.At) {
+			c.violated("no order of an older lease follows an order of a newer lease", "%+v after token %d", o, newest[at])
 		}
 		newest[at] = max(newest[at], o.Token)
 	}
 }
 
-func (j *judge) justHealed(at time.Time) bool {
-	for _, h := range j.history.heals {
-		if since := at.Sub(h); since >= 0 && since < thawTime {
+// justHealed reports whether a fault ended less than lateOrderWindow before a time.
+func (c *checker) justHealed(at time.Time) bool {
+	for _, h := range c.history.heals {
+		if since := at.Sub(h); since >= 0 && since < lateOrderWindow {
 			return true
 		}
 	}
 	return false
 }
 
-// retries checks, for each service and each window, that what arrives again is
-// within the bound on all instances together.
-func (j *judge) retries() {
+// checkRetries checks for each service that the repeated arrivals in any retry window are
+// within the limit for all instances together. The limit depends on the requests sent in that
+// window or in the one before, whichever are more.
+func (c *checker) checkRetries() {
 	sent := map[string][]time.Time{}
-	for _, r := range j.history.results {
-		sent[service(r.Kind)] = append(sent[service(r.Kind)], r.Sent)
+	for _, r := range c.history.results {
+		sent[expectedService(r.Kind)] = append(sent[expectedService(r.Kind)], r.Sent)
 	}
 	first := map[string]bool{}
 	again := map[string][]time.Time{}
-	for _, a := range j.history.arrivals {
+	for _, a := range c.history.arrivals {
 		if first[a.Ask.ID] {
 			again[a.Service] = append(again[a.Service], a.At)
 		}
@@ -266,91 +274,91 @@
 	}
 	for name, times := range again {
 		for _, end := range times {
-			requests := max(within(sent[name], end), within(sent[name], end.Add(-retryWindow)))
-			if n := within(times, end); float64(n) > retryRatio*float64(requests)+retryReserve {
-				j.broken("retries are bounded", "%s: %d again beside %d requests", name, n, requests)
+			requests := max(countInRetryWindow(sent[name], end), countInRetryWindow(sent[name], end.Add(-retryWindow)))
+			if n := countInRetryWindow(times, end); float64(n) > retryRatio*float64(requests)+retryReserve {
+				c.violated("retries are bounded", "%s: %d retries for %d requests", name, n, requests)
 				break
 			}
 		}
 	}
 }
 
-// limits checks that servers which named a rate limit got no more than it allows,
-// over all the instances that had passed on an answer that names it. No fault of an
-// instance excuses it here.
-func (j *judge) limits() {
+// checkRateLimits checks that servers which stated a rate limit got no more requests than the
+// limit allows from all instances that had passed on an answer with the limit. Faults of
+// instances are no excuse.
+func (c *checker) checkRateLimits() {
 	type start struct {
 		server string
 		since  time.Time
 	}
-	told := j.toldLimits()
+	reported := c.firstLimitReports()
 	got := map[start][]time.Time{}
-	broken := map[start]bool{}
-	for _, a := range j.history.arrivals {
-		r := j.asked[a.Ask.ID]
+	violated := map[start]bool{}
+	for _, a := range c.history.arrivals {
+		r := c.resultByID[a.Ask.ID]
 		if a.Limit.PerSecond <= 0 || r == nil {
 			continue
 		}
-		at, ok := told[teller{a.Server, r.Instance, r.Boot}]
-		if !ok || a.At.Sub(at) < toldSlack {
+		at, ok := reported[limitReporter{a.Server, r.Instance, r.Boot}]
+		if !ok || a.At.Sub(at) < limitReportSlack {
 			continue
 		}
 		s := start{a.Server, a.Limit.Since}
 		got[s] = append(got[s], a.At)
-		most := limitRatio*a.Limit.PerSecond*limitWindow.Seconds() + limitReserve
-		if n := recent(got[s], a.At, limitWindow); a.At.Sub(s.since) > limitStable && float64(n) > most && !broken[s] {
-			broken[s] = true
-			j.broken("a server's rate limit is kept", "%s, which named %.1f a second, got %d in %s", a.Server, a.Limit.PerSecond, n, limitWindow)
+		limit := limitRatio*a.Limit.PerSecond*limitWindow.Seconds() + limitReserve
+		if n := countInWindow(got[s], a.At, limitWindow); a.At.Sub(s.since) > limitSettleTime && float64(n) > limit && !violated[s] {
+			violated[s] = true
+			c.violated("a server's rate limit is respected", "%s, with a limit of %.1f requests per second, got %d requests in %s", a.Server, a.Limit.PerSecond, n, limitWindow)
 		}
 	}
 }
 
-// leaving checks that an instance stops sending new requests to a server within
+// checkLeaving checks that an instance stops sending new requests to a server within
 // leavingGrace of passing on an answer which reports that the server is leaving.
-func (j *judge) leaving() {
-	told := map[startPair]time.Time{}
-	for _, a := range j.history.arrivals {
-		r := j.asked[a.Ask.ID]
+func (c *checker) checkLeaving() {
+	reported := map[startPair]time.Time{}
+	for _, a := range c.history.arrivals {
+		r := c.resultByID[a.Ask.ID]
 		if r == nil || !r.Leaving || r.Server != a.Server {
 			continue
 		}
 		pair := startPairOf(a, r)
-		if at, ok := told[pair]; !ok || r.Ended.Before(at) {
-			told[pair] = r.Ended
+		if at, ok := reported[pair]; !ok || r.Ended.Before(at) {
+			reported[pair] = r.Ended
 		}
 	}
-	for _, a := range j.history.arrivals {
-		r := j.asked[a.Ask.ID]
+	for _, a := range c.history.arrivals {
+		r := c.resultByID[a.Ask.ID]
 		if !a.Leaving || r == nil {
 			continue
 		}
-		at, ok := told[startPairOf(a, r)]
-		if delay := r.Sent.Sub(at); ok && delay > leavingGrace && !j.disruptedBetween(at, a.At, a.Server, r.Instance) {
-			j.broken("servers get no new requests after their answers say that they are leaving", "%s received %s from %s, sent %s after an answer that says so", a.Server, r.Ask.ID, r.Instance, delay)
+		at, ok := reported[startPairOf(a, r)]
+		if delay := r.Sent.Sub(at); ok && delay > leavingGrace && !c.disruptedBetween(at, a.At, a.Server, r.Instance) {
+			c.violated("servers get no new requests after their answers say that they are leaving", "%s received %s from %s, sent %s after an answer that says so", a.Server, r.Ask.ID, r.Instance, delay)
 		}
 	}
 }
 
-// pauses checks that instances hold off requests to a server for the Retry-After of its
+// checkRetryAfter checks that instances hold off requests to a server for the Retry-After of its
 // refusals, apart from maxPauseRequests.
-func (j *judge) pauses() {
+func (c *checker) checkRetryAfter() {
 	type refusal struct {
 		at       time.Time
 		pause    time.Duration
 		requests int // refused between pauseSlack after it and the end of the pause
 	}
-	refusals, broken := map[startPair][]*refusal{}, map[startPair]bool{}
-	for _, a := range j.history.arrivals {
-		r := j.asked[a.Ask.ID]
+	refusals, violated := map[startPair][]*refusal{}, map[startPair]bool{}
+	for _, a := range c.history.arrivals {
+		r := c.resultByID[a.Ask.ID]
 		if r == nil || a.RetryAfter <= 0 {
 			continue
 		}
 		pair := startPairOf(a, r)
 		for _, earlier := range refusals[pair] {
-			if since := a.At.Sub(earlier.at); since > pauseSlack && since < earlier.pause && !j.disruptedBetween(earlier.at, a.At, a.Server, r.Instance) {
-				if earlier.requests++; earlier.requests > maxPauseRequests && !broken[pair] {
-					broken[pair] = true
-					j.broken("the Retry-After of servers is honored", "%s received %d requests from %s within a pause of %s", a.Server, earlier.requests, r.Instance, earlier.pause)
+			if since := a.At.Sub(earlier.at); since > pauseSlack && since < earlier.pause && !c.disruptedBetween(earlier.at, a.At, a.Server, r.Instance) {
+				if earlier.requests++; earlier.requests > maxPauseRequests && !violated[pair] {
+					violated[pair] = true
+					c.violated("the Retry-After of servers is honored", "%s received %d requests from %s within a pause of %s", a.Server, earlier.requests, r.Instance, earlier.pause)
 				}
 			}
 		}
@@ -373,8 +381,8 @@
 
 // disruptedBetween reports whether any of the targets was disrupted between two times, so
 // that the instance may not have received the server's answers in time.
-func (j *judge) disruptedBetween(from, to time.Time, targets ...string) bool {
-	for _, d := range j.history.disruptions {
+func (c *checker) disruptedBetween(from, to time.Time, targets ...string) bool {
+	for _, d := range c.history.disruptions {
 		if d.from.Before(to) && slices.Contains(targets, d.target) && d.to.After(from) {
 			return true
 		}
@@ -382,27 +390,27 @@
 	return false
 }
 
-// teller is a start of an instance that passes on a server's answers.
-type teller struct {
+// limitReporter is a start of an instance that passes on a server's answers.
+type limitReporter struct {
 	server, instance string
 	boot             int
 }
 
-// toldLimits returns when each start of an instance had passed on a server's first
-// answer that names a rate limit.
-func (j *judge) toldLimits() map[teller]time.Time {
-	told := map[teller]time.Time{}
-	for _, r := range j.history.results {
-		t := teller{r.Server, r.Instance, r.Boot}
-		if at, ok := told[t]; r.Limited && (!ok || r.Ended.Before(at)) {
-			told[t] = r.Ended
+// firstLimitReports returns when each start of an instance had passed on a server's first
+// answer that states a rate limit.
+func (c *checker) firstLimitReports() map[limitReporter]time.Time {
+	reported := map[limitReporter]time.Time{}
+	for _, r := range c.history.results {
+		t := limitReporter{r.Server, r.Instance, r.Boot}
+		if at, ok := reported[t]; r.RateLimited && (!ok || r.Ended.Before(at)) {
+			reported[t] = r.Ended
 		}
 	}
-	return told
+	return reported
 }
 
-// recent counts the times within a window that ends at end.
-func recent(times []time.Time, end time.Time, window time.Duration) int {
+// countInWindow counts the times within a window that ends at end.
+func countInWindow(times []time.Time, end time.Time, window time.Duration) int {
 	n := 0
 	for _, t := range times {
 		if !t.After(end) && t.After(end.Add(-window)) {
@@ -412,5 +420,7 @@
 	return n
 }
 
-// within counts the times in the retries' window that ends at end.
-func within(times []time.Time, end time.Time) int { return recent(times, end, retryWindow) }
+// countInRetryWindow counts the times within the retry window that ends at end.
+func countInRetryWindow(times []time.Time, end time.Time) int {
+	return countInWindow(times, end, retryWindow)
+}
--- a/soak/process.go
+++ b/soak/process.go
@@ -18,37 +18,37 @@
 	"greengageferry/topology"
 )
 
-// Process is one instance: a real program, with its own address on loopback.
+// Process is one instance, which runs as a process of its own with its own loopback address.
 type Process struct {
-	Node    *topology.Node
-	Callers *Proxy // callers' way to it
-	Peers   *Proxy // other instances' way to it
-	Store   *Proxy // its way to the store
-
-	binary, settings, log string
-
-	output *os.File // where the program writes its log; nil: to the file
-
-	mu      sync.Mutex
-	cmd     *exec.Cmd     // nil: it doesn't run
-	ended   chan struct{} // closed once it has
-	boots   int           // how often it was started
-	wanted  bool          // false: it was told to end, or killed
-	killed  bool          // its grace period was over before it had ended
-	ownEnds []string      // each time that it ended by itself
-	lastEnd error         // how it last ended; nil: with exit code 0
+	Node       *topology.Node
+	CallerLink *Proxy // from callers to the instance
+	PeerLink   *Proxy // from other instances to the instance
+	StoreLink  *Proxy // from the instance to the store
+
+	binary, settingsFile, logFile string // paths
+
+	output *os.File // replaces standard output; nil: standard output goes to logFile
+
+	mu              sync.Mutex
+	cmd             *exec.Cmd     // nil: not running
+	exited          chan struct{} // closed when the process has exited
+	starts          int           // number of times the process was started
+	shouldRun       bool          // false after SIGTERM or SIGKILL was sent
+	graceExceeded   bool          // the process was killed because it ran beyond its grace period
+	unexpectedExits []string      // descriptions of exits that no signal asked for
+	exitErr         error         // result of the last exit; nil: exit code 0
 }
 
-// processOptions is what a Process is built from.
+// processOptions configures a Process.
 type processOptions struct {
 	Binary, Dir, IP, Name, Domain string
 	Domains                       []string
 	StoreAddr                     string
 }
 
-// The bounds that the instances get, as the users' deployments have them.
+// The settings of the instances. They are those of users' deployments.
 const (
-	grace        = 8 * time.Second
+	gracePeriod  = 8 * time.Second
 	leaseTTL     = 3 * time.Second
 	retryRatio   = 0.2
 	retryWindow  = 10 * time.Second
@@ -59,79 +59,81 @@
 func newProcess(o processOptions) (*Process, error) {
 	n := &topology.Node{
 		Name: o.Name, Domain: o.Domain, IP: o.IP, Domains: o.Domains, MemoryMB: memoryMB,
-		Grace: grace, LeaseTTL: leaseTTL, RetryRatio: retryRatio, RetryWindow: retryWindow, RetryReserve: retryReserve,
+		Grace: gracePeriod, LeaseTTL: leaseTTL, RetryRatio: retryRatio, RetryWindow: retryWindow, RetryReserve: retryReserve,
 	}
 	if err := freeAddrs(o.IP, &n.CallersAddr, &n.HealthAddr, &n.PeerAddr); err != nil {
 		return nil, err
 	}
 	p := &Process{
 		Node: n, binary: o.Binary,
-		settings: filepath.Join(o.Dir, o.Name+".toml"), log: filepath.Join(o.Dir, o.Name+".log"),
+		settingsFile: filepath.Join(o.Dir, o.Name+".toml"), logFile: filepath.Join(o.Dir, o.Name+".log"),
 	}
-	for link, target := range map[**Proxy]string{&p.Callers: n.CallersAddr, &p.Peers: n.PeerAddr, &p.Store: o.StoreAddr} {
+	for link, target := range map[**Proxy]string{&p.CallerLink: n.CallersAddr, &p.PeerLink: n.PeerAddr, &p.StoreLink: o.StoreAddr} {
 		var err error
 		if *link, err = NewProxy(target); err != nil {
 			return nil, err
 		}
 	}
-	n.StoreAddr = p.Store.Addr
-	return p, standin.WriteSettings(p.settings, n)
+	n.StoreAddr = p.StoreLink.Addr
+	return p, standin.WriteSettings(p.settingsFile, n)
 }
 
-// freeAddrs sets addresses on an IP of loopback that nothing listens at. All are
-// open at once for a moment, so that no two are the same.
+// freeAddrs sets each of addrs to an unused address on a loopback IP. All listeners are open
+// at the same time, so no two addresses are the same.
 func freeAddrs(ip string, addrs ...*string) error {
 	for _, addr := range addrs {
 		l, err := net.Listen("tcp4", ip+":0")
 		if err != nil {
 			return errors.WithStack(err)
 		}
-		defer l.Close() // nothing came that could be lost
+		defer l.Close() // no connection was accepted
 		*addr = l.Addr().String()
 	}
 	return nil
 }
 
-// Start starts the program, if it doesn't run.
+// Start starts the process if it isn't running.
 func (p *Process) Start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.cmd != nil {
 		return nil
 	}
-	log, err := os.OpenFile(p.log, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	logFile, err := os.OpenFile(p.logFile, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	defer log.Close() // the process has its own
+	defer logFile.Close() // the process has its own descriptor
 	cmd := exec.Command(p.binary, "instance")
-	cmd.Env = append(os.Environ(), standin.SettingsEnv(p.settings))
-	cmd.Stdout, cmd.Stderr = log, log
+	cmd.Env = append(os.Environ(), standin.SettingsEnv(p.settingsFile))
+	cmd.Stdout, cmd.Stderr = logFile, logFile
 	if p.output != nil {
 		cmd.Stdout = p.output
 	}
 	if err := cmd.Start(); err != nil {
 		return errors.WithStack(err)
 	}
-	p.cmd, p.wanted, p.ended = cmd, true, make(chan struct{})
-	p.boots++
-	go p.wait(cmd, p.ended)
+	p.cmd, p.shouldRun, p.exited = cmd, true, make(chan struct{})
+	p.starts++
+	go p.wait(cmd, p.exited)
 	return nil
 }
 
-func (p *Process) wait(cmd *exec.Cmd, ended chan struct{}) {
+// wait waits until the process exits and records the exit.
+func (p *Process) wait(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.lastEnd = err
-	if p.wanted {
-		p.ownEnds = append(p.ownEnds, fmt.Sprintf("%s ended by itself: %v", p.Node.Name, err))
+	p.exitErr = err
+	if p.shouldRun {
+		p.unexpectedExits = append(p.unexpectedExits, fmt.Sprintf("%s exited unexpectedly: %v", p.Node.Name, err))
 	}
 	p.cmd = nil
-	close(ended)
+	close(exited)
 }
 
-// Signal sends a signal, if the program runs. SIGTERM and SIGKILL ask for its end.
+// Signal sends a signal if the process is running. An exit after SIGTERM or SIGKILL counts as
+// expected.
 func (p *Process) Signal(s syscall.Signal) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -139,63 +141,63 @@
 		return
 	}
 	if s == syscall.SIGTERM || s == syscall.SIGKILL {
-		p.wanted = false
+		p.shouldRun = false
 	}
-	_ = p.cmd.Process.Signal(s) // it has ended if that fails
+	_ = p.cmd.Process.Signal(s) // fails only if the process has exited
 }
 
-// AwaitEnd waits until the program has ended, and kills it if it takes longer
-// than the platform would wait.
-func (p *Process) AwaitEnd() {
+// AwaitExit waits until the process has exited. It kills the process after gracePeriod, as
+// the platform would.
+func (p *Process) AwaitExit() {
 	p.mu.Lock()
-	ended, runs := p.ended, p.cmd != nil
+	exited, running := p.exited, p.cmd != nil
 	p.mu.Unlock()
-	if !runs {
+	if !running {
 		return
 	}
 	select {
-	case <-ended:
-	case <-time.After(grace):
+	case <-exited:
+	case <-time.After(gracePeriod):
 		p.Signal(syscall.SIGKILL)
-		<-ended
+		<-exited
 		p.mu.Lock()
-		p.killed = true
+		p.graceExceeded = true
 		p.mu.Unlock()
 	}
 }
 
-// Close ends the program and its links.
+// Close kills the process and closes its links.
 func (p *Process) Close() {
 	p.Signal(syscall.SIGCONT)
 	p.Signal(syscall.SIGKILL)
-	p.AwaitEnd()
+	p.AwaitExit()
 	for _, link := range p.links() {
 		link.Close()
 	}
 }
 
-func (p *Process) links() []*Proxy { return []*Proxy{p.Callers, p.Peers, p.Store} }
+func (p *Process) links() []*Proxy { return []*Proxy{p.CallerLink, p.PeerLink, p.StoreLink} }
 
-// Boot returns how often the program was started.
+// Boot returns the number of times that the process was started.
 func (p *Process) Boot() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.boots
+	return p.starts
 }
 
-// OwnEnds returns what is known of each time that the program ended by itself.
-func (p *Process) OwnEnds() []string {
+// UnexpectedExits describes each exit that was not preceded by SIGTERM or SIGKILL.
+func (p *Process) UnexpectedExits() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return append([]string(nil), p.ownEnds...)
+	return append([]string(nil), p.unexpectedExits...)
 }
 
-// healthTimeout is how long a balancer waits for a health check.
-const healthTimeout = 300 * time.Millisecond
+// healthCheckTimeout is how long the load balancer waits for a health check.
+const healthCheckTimeout = 300 * time.Millisecond
 
-// Ready says whether a health check passes.
+// Ready reports whether a health check of the instance passes.
 func (p *Process) Ready(ctx context.Context, client *http.Client) bool {
-	ctx, cancel := context.WithTimeout(ctx, healthTimeout)
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.Node.HealthAddr+"/", nil)
 	if err != nil {
@@ -205,6 +207,6 @@
 	if err != nil {
 		return false
 	}
-	_ = res.Body.Close() // the status is all that counts
+	_ = res.Body.Close() // only the status matters
 	return res.StatusCode == http.StatusOK
 }
--- a/soak/proxy.go
+++ b/soak/proxy.go
@@ -10,21 +10,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// LinkState is what a link does to the bytes that cross it.
+// LinkState is how a link treats the data that crosses it.
 type LinkState struct {
-	Delay   time.Duration // each piece of data waits so long
-	HoldOut bool          // nothing reaches the target
-	HoldIn  bool          // nothing comes back from the target
-	Refuse  bool          // connections are reset, new ones too
+	Delay          time.Duration // of each chunk of data
+	HoldToTarget   bool          // no data reaches the target
+	HoldFromTarget bool          // no data comes back from the target
+	Refuse         bool          // existing and new connections are reset
 }
 
-// pieceBytes is the most that crosses a link in one piece.
-const pieceBytes = 32 << 10
+// chunkBytes is the largest chunk that crosses a link at once.
+const chunkBytes = 32 << 10
 
-// Proxy is a link on loopback to one target. What is held back waits, as on a
-// network that is cut and heals: TCP sends it again.
+// Proxy is a TCP proxy on loopback that simulates the network link to one target. Data held
+// back arrives later, as after a network partition, when TCP retransmits it.
 type Proxy struct {
-	Addr     string // where it listens
+	Addr     string // address that the proxy listens on
 	target   string
 	listener net.Listener
 
@@ -36,7 +36,7 @@
 	group   sync.WaitGroup
 }
 
-// NewProxy returns a proxy that passes everything on.
+// NewProxy starts a proxy that forwards all data to target without delay.
 func NewProxy(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -47,7 +47,7 @@
 	return p, nil
 }
 
-// Set changes what the link does from now on.
+// Set changes the state of the link for open and new connections.
 func (p *Proxy) Set(s LinkState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -59,21 +59,21 @@
 	}
 }
 
-// Reset breaks every open connection; new ones pass.
+// Reset resets all open connections. New connections are not affected.
 func (p *Proxy) Reset() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.resetAll()
 }
 
-// resetAll breaks all connections. The lock is held.
+// resetAll resets all open connections. The caller holds the lock.
 func (p *Proxy) resetAll() {
 	for c := range p.conns {
 		abort(c)
 	}
 }
 
-// Close ends the proxy and waits for its goroutines.
+// Close resets all connections, stops the proxy and waits for its goroutines.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	p.closed = true
@@ -81,22 +81,23 @@
 	close(p.changed)
 	p.changed = make(chan struct{})
 	p.mu.Unlock()
-	_ = p.listener.Close() // nothing is lost by it
+	_ = p.listener.Close() // no more connections are accepted
 	p.group.Wait()
 }
 
+// accept forwards incoming connections until the listener is closed.
 func (p *Proxy) accept() {
 	for {
 		c, err := p.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		p.group.Go(func() { p.carry(c) })
+		p.group.Go(func() { p.forward(c) })
 	}
 }
 
-// keep registers a connection. It returns false where the link takes none.
-func (p *Proxy) keep(c net.Conn) bool {
+// track registers a connection. It returns false if the link accepts none.
+func (p *Proxy) track(c net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed || p.state.Refuse {
@@ -106,53 +107,54 @@
 	return true
 }
 
-// drop closes a connection whose directions have both ended, and forgets it.
-func (p *Proxy) drop(c net.Conn) {
+// untrack closes and unregisters a connection after both directions have ended.
+func (p *Proxy) untrack(c net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
 	_ = c.Close() // may be closed already
 }
 
-// abort closes a connection with a reset, so that an end that wasn't the other
-// side's own can't look like one.
+// abort closes a connection with a TCP reset, so that its peer can't mistake a broken
+// connection for one that the other side closed in order.
 func abort(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // closed already if it fails
+		_ = tcp.SetLinger(0) // fails only if already closed
 	}
-	_ = c.Close() // the same
+	_ = c.Close() // fails only if already closed
 }
 
-// carry joins one connection with the target.
-func (p *Proxy) carry(from net.Conn) {
-	if !p.keep(from) {
+// forward connects to the target and copies data in both directions.
+func (p *Proxy) forward(from net.Conn) {
+	if !p.track(from) {
 		abort(from)
 		return
 	}
-	defer p.drop(from)
+	defer p.untrack(from)
 	var dialer net.Dialer
 	to, err := dialer.DialContext(context.Background(), "tcp4", p.target)
 	if err != nil {
 		abort(from)
 		return
 	}
-	if !p.keep(to) {
+	if !p.track(to) {
 		abort(to)
 		return
 	}
-	defer p.drop(to)
+	defer p.untrack(to)
 	var both sync.WaitGroup
-	both.Go(func() { p.pump(to, from, func(s LinkState) bool { return s.HoldOut }) })
-	both.Go(func() { p.pump(from, to, func(s LinkState) bool { return s.HoldIn }) })
+	both.Go(func() { p.pump(to, from, func(s LinkState) bool { return s.HoldToTarget }) })
+	both.Go(func() { p.pump(from, to, func(s LinkState) bool { return s.HoldFromTarget }) })
 	both.Wait()
 }
 
-// pump copies one direction until either side ends.
-func (p *Proxy) pump(dst, src net.Conn, held func(LinkState) bool) {
-	data := make([]byte, pieceBytes)
+// pump copies data from src to dst until either side ends. holds reports whether a link state
+// holds back this direction.
+func (p *Proxy) pump(dst, src net.Conn, holds func(LinkState) bool) {
+	data := make([]byte, chunkBytes)
 	for {
 		n, err := src.Read(data)
-		if !p.pass(held) {
+		if !p.waitToPass(holds) {
 			abort(dst)
 			abort(src)
 			return
@@ -164,25 +166,26 @@
 			}
 		}
 		if err != nil {
-			p.end(dst, err)
+			p.propagateEnd(dst, err)
 			return
 		}
 	}
 }
 
-// end hands on how one direction ended: in order, or by a reset.
-func (p *Proxy) end(dst net.Conn, err error) {
+// propagateEnd ends dst in the way that the source ended: by a half-close after io.EOF, else
+// by a reset.
+func (p *Proxy) propagateEnd(dst net.Conn, err error) {
 	tcp, ok := dst.(*net.TCPConn)
 	if ok && errors.Is(err, io.EOF) {
-		_ = tcp.CloseWrite() // gone already if it fails
+		_ = tcp.CloseWrite() // fails only if already closed
 		return
 	}
 	abort(dst)
 }
 
-// pass waits until the link lets a piece through. It returns false once the
-// proxy is closed.
-func (p *Proxy) pass(held func(LinkState) bool) bool {
+// waitToPass waits until the link lets a chunk through. It returns false once the proxy is
+// closed.
+func (p *Proxy) waitToPass(holds func(LinkState) bool) bool {
 	delayed := false
 	for {
 		p.mu.Lock()
@@ -191,7 +194,7 @@
 		switch {
 		case closed:
 			return false
-		case held(s):
+		case holds(s):
 			<-changed
 		case s.Delay > 0 && !delayed:
 			delayed = true
--- a/soak/run.go
+++ b/soak/run.go
@@ -17,64 +17,64 @@
 	"greengageferry/platform/standin"
 )
 
-// Bounds are how long the product may take, once every fault has ended.
+// Bounds are the longest times that the product may take after all faults have ended.
 type Bounds struct {
-	Recover time.Duration // until every kind of request is served by every instance
-	Config  time.Duration // from a change of the configuration until all obey it
-	Drain   time.Duration // until a server that leaves gets no more requests
+	Recover time.Duration // until every instance serves every kind of request
+	Config  time.Duration // from a configuration change until all instances apply it
+	Drain   time.Duration // until a leaving server gets no more requests
 }
 
-// PromisedBounds are the bounds that the users' deployments have. Where they
-// decide, the machine must not be overloaded.
-var PromisedBounds = Bounds{Recover: 15 * time.Second, Config: 3 * time.Second, Drain: 3 * time.Second}
+// RequiredBounds are the bounds that apply to users' deployments. Results under them are
+// valid only if the machine is not overloaded.
+var RequiredBounds = Bounds{Recover: 15 * time.Second, Config: 3 * time.Second, Drain: 3 * time.Second}
 
-// Options is what a run is built from.
+// Options configures a run.
 type Options struct {
-	Binary string // the program
-	Seed   uint64
-	Length time.Duration // of the time in which faults begin
-	Bounds Bounds
-	Out    io.Writer // what happens, a line each
+	Binary      string // path of the executable
+	Seed        uint64
+	FaultPeriod time.Duration // period in which faults start
+	Bounds      Bounds
+	Out         io.Writer // receives one line per fault and result
 }
 
-// Report is what a run showed.
+// Report is the result of a run.
 type Report struct {
 	Requests, Served int
 	Violations       []Violation
-	Logs             string // the directory of the instances' logs
+	LogDir           string // directory of the instances' log files
 }
 
-// Run plays one seed: faults, then calm in which everything must come back. Its
-// error means that the run itself failed.
+// Run plays one seed: it injects faults, waits until everything has recovered, and checks
+// the deployment without faults. An error means that the run itself failed.
 func Run(o Options) (*Report, error) {
-	w, err := newWorld(worldOptions{Binary: o.Binary, Run: int(o.Seed)})
+	d, err := newDeployment(deploymentOptions{Binary: o.Binary, Run: int(o.Seed)})
 	if err != nil {
 		return nil, err
 	}
-	defer w.Close()
-	c := newCrowd(w)
+	defer d.Close()
+	load := newLoadGenerator(d)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	c.run(ctx, o.Seed)
-	r := &runner{world: w, opts: o, out: o.Out}
-	err = r.play()
+	load.run(ctx, o.Seed)
+	r := &runner{deployment: d, opts: o, out: o.Out}
+	err = r.runPhases()
 	cancel()
-	c.group.Wait()
+	load.group.Wait()
 	if err != nil {
 		return nil, err
 	}
-	report := &Report{Logs: w.dir, Violations: append(r.violations, Judge(w.History)...)}
-	for _, p := range w.Instances {
-		for _, end := range p.OwnEnds() {
-			report.Violations = append(report.Violations, Violation{"programs don't end by themselves", end})
+	report := &Report{LogDir: d.dir, Violations: append(r.violations, Check(d.History)...)}
+	for _, p := range d.Instances {
+		for _, exit := range p.UnexpectedExits() {
+			report.Violations = append(report.Violations, Violation{"instances do not exit unexpectedly", exit})
 		}
 	}
-	lines, err := alarms(w.dir)
+	logged, err := scanLogs(d.dir)
 	if err != nil {
 		return nil, err
 	}
-	report.Violations = append(report.Violations, lines...)
-	for _, res := range w.History.results {
+	report.Violations = append(report.Violations, logged...)
+	for _, res := range d.History.results {
 		report.Requests++
 		if res.Served() {
 			report.Served++
@@ -83,8 +83,9 @@
 	return report, nil
 }
 
-// alarms returns the lines of the instances' logs that must never come.
-func alarms(dir string) ([]Violation, error) {
+// scanLogs returns a violation for each line of the instances' logs that must never appear:
+// errors, panics and fatal errors of the Go runtime.
+func scanLogs(dir string) ([]Violation, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
 	if err != nil {
 		return nil, errors.WithStack(err)
@@ -97,101 +98,104 @@
 		}
 		for lines := bufio.NewScanner(f); lines.Scan(); {
 			if l := lines.Text(); strings.Contains(l, "level=error") || strings.HasPrefix(l, "panic:") || strings.HasPrefix(l, "fatal error:") {
-				out = append(out, Violation{"nothing panics", filepath.Base(file) + ": " + l})
+				out = append(out, Violation{"logs contain no errors or panics", filepath.Base(file) + ": " + l})
 			}
 		}
-		_ = f.Close() // it was only read
+		_ = f.Close() // opened only for reading
 	}
 	return out, nil
 }
 
-// runner plays the parts of a run, one after the other.
+// runner runs the phases of a run in order.
 type runner struct {
-	world      *World
+	deployment *Deployment
 	opts       Options
 	out        io.Writer
 	violations []Violation
 }
 
-func (r *runner) broken(promise, format string, args ...any) {
-	r.violations = append(r.violations, Violation{promise, fmt.Sprintf(format, args...)})
+// violated records a violation of a rule.
+func (r *runner) violated(rule, format string, args ...any) {
+	r.violations = append(r.violations, Violation{rule, fmt.Sprintf(format, args...)})
 }
 
-func (r *runner) play() error {
-	if _, ok := r.until(r.opts.Bounds.Recover, r.allServe); !ok {
-		r.broken("a fresh deployment serves", "after %s: %s", r.opts.Bounds.Recover, r.whoFails())
+// runPhases waits until the new deployment serves, injects the faults, and checks the recovery
+// and the phase without faults. An error means that the run itself failed.
+func (r *runner) runPhases() error {
+	if _, ok := r.waitUntil(r.opts.Bounds.Recover, r.allServe); !ok {
+		r.violated("a fresh deployment serves", "after %s: %s", r.opts.Bounds.Recover, r.failingProbes())
 		return nil
 	}
-	faults := schedule(r.opts.Seed, r.opts.Length)
+	faults := schedule(r.opts.Seed, r.opts.FaultPeriod)
 	for _, f := range faults {
 		fmt.Fprintf(r.out, "seed=%d %s\n", r.opts.Seed, f)
 	}
-	if err := inject(context.Background(), r.world, faults); err != nil {
+	if err := inject(context.Background(), r.deployment, faults); err != nil {
 		return err
 	}
-	if err := r.world.Heal(); err != nil {
+	if err := r.deployment.Heal(); err != nil {
 		return err
 	}
-	took, ok := r.until(r.opts.Bounds.Recover, r.allServe)
+	took, ok := r.waitUntil(r.opts.Bounds.Recover, r.allServe)
 	fmt.Fprintf(r.out, "seed=%d recovered=%t took=%s\n", r.opts.Seed, ok, took.Round(time.Millisecond))
 	if !ok {
-		r.broken("everything is served again after the faults", "after %s: %s", r.opts.Bounds.Recover, r.whoFails())
+		r.violated("all requests are served again after the faults", "after %s: %s", r.opts.Bounds.Recover, r.failingProbes())
 		return nil
 	}
-	return r.calm()
+	return r.checkCalm()
 }
 
-// calm checks the promises that hold while nothing is disturbed.
-func (r *runner) calm() error {
-	time.Sleep(time.Second) // what faults left behind in flight ends
-	began := time.Now()
-	if err := r.world.Configure(); err != nil {
+// checkCalm checks the rules that apply while no faults are injected.
+func (r *runner) checkCalm() error {
+	time.Sleep(time.Second) // lets requests sent during the faults end
+	start := time.Now()
+	if err := r.deployment.WriteNextConfig(); err != nil {
 		return err
 	}
-	path := standin.VersionPath(r.world.Version())
-	if _, ok := r.until(r.opts.Bounds.Config, func() bool { return r.each(func(p *Process) bool { return r.probe(p, path, "") }) }); !ok {
-		r.broken("a configuration is in force in time", "%s isn't after %s", path, r.opts.Bounds.Config)
+	path := standin.VersionPath(r.deployment.ConfigVersion())
+	if _, ok := r.waitUntil(r.opts.Bounds.Config, func() bool { return r.allInstances(func(p *Process) bool { return r.probe(p, path, "") }) }); !ok {
+		r.violated("a configuration is in force in time", "%s is not served by all instances after %s", path, r.opts.Bounds.Config)
 	}
 	r.drainServer()
-	r.terminate()
-	time.Sleep(time.Second) // what was sent before has ended
-	r.judgeCalm(began)
+	r.terminateOne()
+	time.Sleep(time.Second) // lets requests in flight end
+	r.checkCalmResults(start)
 	return nil
 }
 
-// quietFor is how long a server that leaves must have got nothing to count as left.
-const quietFor = time.Second
+// quietPeriod is how long a leaving server must run no requests to count as drained.
+const quietPeriod = time.Second
 
-// drainServer has a plain server leave and checks that it gets nothing more.
+// drainServer drains a plain server and checks that it stops getting requests.
 func (r *runner) drainServer() {
-	p := r.world.places[desksAt()]
-	server := p.server.Load()
+	e := r.deployment.endpoints[firstPlainEndpoint()]
+	server := e.server.Load()
 	server.Drain()
-	_, ok := r.until(r.opts.Bounds.Drain, func() bool {
+	_, ok := r.waitUntil(r.opts.Bounds.Drain, func() bool {
 		before := len(server.Ran())
-		time.Sleep(quietFor)
+		time.Sleep(quietPeriod)
 		return len(server.Ran()) == before
 	})
 	if !ok {
-		r.broken("a server that leaves gets no more requests", "it still does after %s", r.opts.Bounds.Drain)
+		r.violated("a leaving server gets no more requests", "it still runs requests after %s", r.opts.Bounds.Drain)
 	}
-	r.world.Replace(p, 0)
+	r.deployment.Replace(e, 0)
 }
 
-// desksAt returns the place of the first plain server.
-func desksAt() int { return enginesPerDomain }
+// firstPlainEndpoint returns the index of the first endpoint of a plain server.
+func firstPlainEndpoint() int { return engineServersPerDomain }
 
-// terminate ends one instance in order, while callers use it.
-func (r *runner) terminate() {
-	p := r.world.Instances[int(r.opts.Seed)%len(r.world.Instances)]
+// terminateOne terminates one instance gracefully while callers use it.
+func (r *runner) terminateOne() {
+	p := r.deployment.Instances[int(r.opts.Seed)%len(r.deployment.Instances)]
 	p.Signal(syscall.SIGTERM)
-	p.AwaitEnd()
+	p.AwaitExit()
 }
 
-// judgeCalm checks what callers saw while nothing was disturbed: no request that
+// checkCalmResults checks the results of requests sent without faults: no request that has
 // reached a server is cut off, and nearly all are served.
-func (r *runner) judgeCalm(began time.Time) {
-	h := r.world.History
+func (r *runner) checkCalmResults(start time.Time) {
+	h := r.deployment.History
 	reached := map[string]time.Time{}
 	h.mu.Lock()
 	for _, a := range h.arrivals {
@@ -199,49 +203,51 @@
 	}
 	h.mu.Unlock()
 	total, served := 0, 0
-	for _, res := range h.since(began) {
-		if res.Ended.Sub(res.Sent) < callerTimeout-leavesAfter && errors.Is(res.Err, context.DeadlineExceeded) {
-			continue // the caller left
+	for _, res := range h.resultsSince(start) {
+		if res.Ended.Sub(res.Sent) < callerTimeout-cancelDelay && errors.Is(res.Err, context.DeadlineExceeded) {
+			continue // the caller canceled the request
 		}
 		total++
 		if res.Served() {
 			served++
 		}
 		if at, ok := reached[res.Ask.ID]; ok && res.Err != nil {
-			r.broken("planned work cuts nothing off", "%s: %v, %s after it reached a server", res.Ask.ID, res.Err, res.Ended.Sub(at))
+			r.violated("planned changes cut off no request", "%s: %v, %s after it reached a server", res.Ask.ID, res.Err, res.Ended.Sub(at))
 		}
 	}
 	fmt.Fprintf(r.out, "seed=%d calm_requests=%d calm_served=%d\n", r.opts.Seed, total, served)
-	if float64(served) < calmServed*float64(total) {
-		r.broken("a calm deployment serves", "%d of %d", served, total)
+	if float64(served) < minServedShare*float64(total) {
+		r.violated("a deployment without faults serves nearly all requests", "%d of %d served", served, total)
 	}
 }
 
-// calmServed is the least share that is served in calm: a model that a server
-// just loads, or one that left, may refuse a few.
-const calmServed = 0.9
+// minServedShare is the least share of requests that is served without faults. A few may
+// be refused while a server loads a model or after a server has left.
+const minServedShare = 0.9
 
-// until waits until a condition holds and returns how long that took.
-func (r *runner) until(bound time.Duration, holds func() bool) (time.Duration, bool) {
-	began := time.Now()
+// waitUntil polls a condition until it holds or bound has passed. It returns the time taken
+// and whether the condition held.
+func (r *runner) waitUntil(bound time.Duration, holds func() bool) (time.Duration, bool) {
+	start := time.Now()
 	for {
 		if holds() {
-			return time.Since(began), true
+			return time.Since(start), true
 		}
-		if time.Since(began) > bound {
-			return time.Since(began), false
+		if time.Since(start) > bound {
+			return time.Since(start), false
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
 }
 
-// each asks all instances at once.
-func (r *runner) each(ok func(*Process) bool) bool {
+// allInstances reports whether ok returns true for every instance. It checks all instances
+// concurrently.
+func (r *runner) allInstances(ok func(*Process) bool) bool {
 	var group errgroup.Group
-	for _, p := range r.world.Instances {
+	for _, p := range r.deployment.Instances {
 		group.Go(func() error {
 			if !ok(p) {
-				return errors.New("not ok")
+				return errors.New("condition not met")
 			}
 			return nil
 		})
@@ -249,18 +255,18 @@
 	return group.Wait() == nil
 }
 
-// probes are the requests that must be served: one of each kind.
-var probes = []struct{ path, model string }{
+// probeRequests are one request of each kind. All must be served.
+var probeRequests = []struct{ path, model string }{
 	{standin.PlainPath, ""},
 	{standin.StreamPath, standin.BusyModel},
 	{standin.StreamPath, standin.RareModel},
 }
 
-// allServe says whether every instance serves every kind of request.
+// allServe reports whether every instance serves every kind of request.
 func (r *runner) allServe() bool {
-	return r.each(func(p *Process) bool {
-		for _, ask := range probes {
-			if !r.probe(p, ask.path, ask.model) {
+	return r.allInstances(func(p *Process) bool {
+		for _, req := range probeRequests {
+			if !r.probe(p, req.path, req.model) {
 				return false
 			}
 		}
@@ -268,21 +274,21 @@
 	})
 }
 
-// whoFails names the probes that are not served.
-func (r *runner) whoFails() string {
+// failingProbes returns the instances and requests of the probes that are not served.
+func (r *runner) failingProbes() string {
 	var out []string
-	for _, p := range r.world.Instances {
-		for _, ask := range probes {
-			if !r.probe(p, ask.path, ask.model) {
-				out = append(out, p.Node.Name+" "+ask.path+ask.model)
+	for _, p := range r.deployment.Instances {
+		for _, req := range probeRequests {
+			if !r.probe(p, req.path, req.model) {
+				out = append(out, p.Node.Name+" "+req.path+req.model)
 			}
 		}
 	}
 	return strings.Join(out, ", ")
 }
 
-// probe sends one request to an instance and says whether it was served.
+// probe sends one request to an instance and reports whether it was served.
 func (r *runner) probe(p *Process, path, model string) bool {
-	res := r.world.probe(p, path, model)
+	res := r.deployment.probe(p, path, model)
 	return res.Served()
 }
--- a/soak/soak_test.go
+++ b/soak/soak_test.go
@@ -19,28 +19,28 @@
 )
 
 var (
-	seeds   = flag.Int("seeds", 0, "how many `seeds` to play under the promised bounds; 0: only the fixed ones, under wide bounds")
-	first   = flag.Uint64("first", 1, "the first seed")
-	atOnce  = flag.Int("at-once", 3, "how many worlds run at once")
-	length  = flag.Duration("length", 8*time.Second, "how long faults begin")
-	keepLog = flag.Bool("keep", false, "keep the instances' logs of runs that broke nothing too")
+	seedCount      = flag.Int("seeds", 0, "number of `seeds` to play under the required bounds; 0: only the fixed seeds, under wide bounds")
+	firstSeed      = flag.Uint64("first", 1, "first seed")
+	concurrentRuns = flag.Int("at-once", 3, "number of concurrent deployments")
+	length         = flag.Duration("length", 8*time.Second, "period in which faults start")
+	keepLogs       = flag.Bool("keep", false, "keep the instances' logs also of runs without violations")
 )
 
-// wideBounds decide nothing but that it comes at all: a verdict must not depend
-// on how busy the machine is.
+// wideBounds only make a run fail if something never happens. The result must not depend on
+// how busy the machine is.
 var wideBounds = Bounds{Recover: 90 * time.Second, Config: 60 * time.Second, Drain: 60 * time.Second}
 
-// fixedSeeds are played by every run of the tests: some that cover much, and
-// each one that ever broke a promise.
+// fixedSeeds are played by every run of the tests: some that cover many faults, and each one
+// that ever revealed a violation.
 var fixedSeeds = []struct {
 	seed   uint64
-	length time.Duration // of the time in which faults begin: it places them
+	length time.Duration // period in which faults start; it determines when they start
 	cause  string
 }{
-	{1, 3 * time.Second, "covers: the first one"},
-	{50005, 3 * time.Second, "covers: servers that name rate limits while instances are killed, terminated and suspended"},
-	{1032, 3 * time.Second, "the soak's own fault: two addresses of an instance were the same; drawn by the system, not by the seed"},
-	{1000, 8 * time.Second, "the soak's own fault: addresses used again, overlapping, left the plain service with one server, which the calm part then took out"},
+	{1, 3 * time.Second, "covers: the first seed"},
+	{50005, 3 * time.Second, "covers: servers that state rate limits while instances are killed, terminated and suspended"},
+	{1032, 3 * time.Second, "fault of the test: two addresses of an instance were the same; the system picks them, not the seed"},
+	{1000, 8 * time.Second, "fault of the test: overlapping reuses of addresses left the plain service with one server, which was then drained in the phase without faults"},
 }
 
 var program struct {
@@ -49,8 +49,8 @@
 	err  error
 }
 
-// binary returns the program, built once.
-func binary(t *testing.T) string {
+// buildProgram builds the program once and returns the path of the executable.
+func buildProgram(t *testing.T) string {
 	program.once.Do(func() {
 		dir, err := os.MkdirTemp("", "soak-program-")
 		if err != nil {
@@ -70,74 +70,77 @@
 	flag.Parse()
 	code := m.Run()
 	if program.path != "" {
-		_ = os.RemoveAll(filepath.Dir(program.path)) // left behind if it fails
+		_ = os.RemoveAll(filepath.Dir(program.path)) // stays if it fails
 	}
 	os.Exit(code)
 }
 
-// TestPromisesHoldUnderFaults plays seeds: go test ./soak -args -seeds 50 -first 1000.
-func TestPromisesHoldUnderFaults(t *testing.T) {
-	path := binary(t)
-	if *seeds == 0 {
+// TestRulesHoldUnderFaults plays the fixed seeds, or those that the flags give:
+//
+//	go test ./soak -args -seeds 50 -first 1000
+func TestRulesHoldUnderFaults(t *testing.T) {
+	path := buildProgram(t)
+	if *seedCount == 0 {
 		for _, f := range fixedSeeds {
-			play(t, Options{Binary: path, Seed: f.seed, Length: f.length, Bounds: wideBounds})
+			runSeed(t, Options{Binary: path, Seed: f.seed, FaultPeriod: f.length, Bounds: wideBounds})
 		}
 		return
 	}
-	turns := make(chan struct{}, *atOnce)
+	running := make(chan struct{}, *concurrentRuns)
 	var group sync.WaitGroup
-	for n := range *seeds {
-		turns <- struct{}{}
+	for n := range *seedCount {
+		running <- struct{}{}
 		group.Go(func() {
-			play(t, Options{Binary: path, Seed: *first + uint64(n), Length: *length, Bounds: PromisedBounds})
-			<-turns
+			runSeed(t, Options{Binary: path, Seed: *firstSeed + uint64(n), FaultPeriod: *length, Bounds: RequiredBounds})
+			<-running
 		})
 	}
 	group.Wait()
 }
 
-// An instance that was told to end has some seconds for what is in hand. Told in
-// that time to read its settings again, it was killed by that signal: it listened to
-// it no more, and so cut off whatever it had in hand.
-func TestSettingsReadAgainEndNoInstanceThatDrains(t *testing.T) {
-	w, err := newWorld(worldOptions{Binary: binary(t), Run: 248})
+// TestSIGHUPDuringDrainDoesNotEndInstance guards against an instance that dies from SIGHUP
+// while it completes its requests in flight after SIGTERM. The instance had stopped handling
+// SIGHUP by then, so the signal killed it and cut off the requests.
+func TestSIGHUPDuringDrainDoesNotEndInstance(t *testing.T) {
+	d, err := newDeployment(deploymentOptions{Binary: buildProgram(t), Run: 248})
 	require.NoError(t, err)
-	defer os.RemoveAll(w.dir)
-	defer w.Close()
-	p := w.Instances[0]
-	r := &runner{world: w}
-	_, ok := r.until(wideBounds.Recover, func() bool { return r.probe(p, standin.PlainPath, "") })
+	defer os.RemoveAll(d.dir)
+	defer d.Close()
+	p := d.Instances[0]
+	r := &runner{deployment: d}
+	_, ok := r.waitUntil(wideBounds.Recover, func() bool { return r.probe(p, standin.PlainPath, "") })
 	require.True(t, ok)
 	p.Signal(syscall.SIGTERM)
-	time.Sleep(200 * time.Millisecond) // it has heard of it
+	time.Sleep(200 * time.Millisecond) // lets the instance handle SIGTERM
 	p.Signal(syscall.SIGHUP)
-	p.AwaitEnd()
-	require.NoError(t, p.lastEnd)
+	p.AwaitExit()
+	require.NoError(t, p.exitErr)
 }
 
-// TestAnInstanceWhoseLogNobodyReadsGoesOn: its standard output is a pipe that is
-// full after some hundred lines, and its ring after some thousand.
-func TestAnInstanceWhoseLogNobodyReadsGoesOn(t *testing.T) {
-	const requests = 4000 // of two lines each
-	w, err := newWorld(worldOptions{Binary: binary(t), Run: 249})
+// TestInstanceServesWhileItsLogIsNotRead guards against an instance that blocks on writing its
+// log. Its standard output is a pipe that nobody reads, which is full after some hundred
+// lines; the instance's log buffer is full after some thousand lines.
+func TestInstanceServesWhileItsLogIsNotRead(t *testing.T) {
+	const requests = 4000 // each logs two lines
+	d, err := newDeployment(deploymentOptions{Binary: buildProgram(t), Run: 249})
 	require.NoError(t, err)
-	defer os.RemoveAll(w.dir)
-	defer w.Close()
-	p := w.Instances[0]
+	defer os.RemoveAll(d.dir)
+	defer d.Close()
+	p := d.Instances[0]
 	p.Signal(syscall.SIGKILL)
-	p.AwaitEnd()
+	p.AwaitExit()
 	reader, writer, err := os.Pipe()
 	require.NoError(t, err)
 	defer reader.Close()
 	p.output = writer
 	require.NoError(t, p.Start())
 	require.NoError(t, writer.Close())
-	r := &runner{world: w}
+	r := &runner{deployment: d}
 	serves := func() bool { return r.probe(p, standin.PlainPath, "") }
-	_, ok := r.until(wideBounds.Recover, serves)
+	_, ok := r.waitUntil(wideBounds.Recover, serves)
 	require.True(t, ok)
 	var group errgroup.Group
-	group.SetLimit(callersCount)
+	group.SetLimit(callerCount)
 	for range requests {
 		group.Go(func() error {
 			if !serves() {
@@ -148,13 +151,13 @@
 	}
 	require.NoError(t, group.Wait())
 	p.Signal(syscall.SIGTERM)
-	p.AwaitEnd()
-	require.Empty(t, p.OwnEnds())
-	require.False(t, p.killed, "it ended by itself within its grace period")
+	p.AwaitExit()
+	require.Empty(t, p.UnexpectedExits())
+	require.False(t, p.graceExceeded, "the instance must exit within its grace period")
 }
 
-// play plays one seed. What it printed is shown where a promise was broken.
-func play(t *testing.T, o Options) {
+// runSeed plays one seed, logs its output and reports each violation as an error.
+func runSeed(t *testing.T, o Options) {
 	var out bytes.Buffer
 	o.Out = &out
 	report, err := Run(o)
@@ -164,9 +167,9 @@
 	}
 	t.Logf("seed=%d requests=%d served=%d broken=%d\n%s", o.Seed, report.Requests, report.Served, len(report.Violations), out.String())
 	for _, v := range report.Violations {
-		t.Errorf("seed %d: %s (logs: %s)", o.Seed, v, report.Logs)
+		t.Errorf("seed %d: %s (logs: %s)", o.Seed, v, report.LogDir)
 	}
-	if len(report.Violations) == 0 && !*keepLog {
-		_ = os.RemoveAll(report.Logs) // left behind if it fails
+	if len(report.Violations) == 0 && !*keepLogs {
+		_ = os.RemoveAll(report.LogDir) // stays if it fails
 	}
 }
--- a/soak/world.go
+++ b/soak/world.go
@@ -16,297 +16,301 @@
 	"greengageferry/platform/standin"
 )
 
-// The size of the world: the least that has two failure domains with a choice
-// in each.
+// The size of the deployment: the smallest with two failure domains and a choice of
+// instances and model servers in each.
 const (
-	instancesPerDomain = 2
-	enginesPerDomain   = 2
-	desksPerDomain     = 1
-	// heartbeatEvery is how often servers write their entries, and lapseAfter how
-	// long after the last one the platform drops an entry.
-	heartbeatEvery = 400 * time.Millisecond
-	lapseAfter     = 1500 * time.Millisecond
-	streamEvents   = 10
-	eventPause     = 10 * time.Millisecond
-	serverSlots    = 8
-	modelLoad      = 200 * time.Millisecond
+	instancesPerDomain     = 2
+	engineServersPerDomain = 2
+	plainServersPerDomain  = 1
+	// heartbeatInterval is how often servers write their entries. The platform removes an
+	// entry entryTTL after it stopped being written.
+	heartbeatInterval = 400 * time.Millisecond
+	entryTTL          = 1500 * time.Millisecond
+	eventsPerStream   = 10
+	eventInterval     = 10 * time.Millisecond
+	serverSlots       = 8
+	modelLoadTime     = 200 * time.Millisecond
 )
 
-// place is an address at which a server is served, and the link to it.
-type place struct {
-	link   *Proxy
-	domain string
-	home   string // the service that it belongs to, whatever faults put there
-	http   *http.Server
+// endpoint is an address that serves one server at a time, and the link to the address.
+type endpoint struct {
+	link        *Proxy
+	domain      string
+	homeService string // the service it belongs to; faults may put a server of the other one there
+	http        *http.Server
 
 	server atomic.Pointer[standin.Server]
 	down   atomic.Bool
-	opts   standin.ServerOptions // of the server there now; World.mu guards it
+	opts   standin.ServerOptions // of the current server; guarded by Deployment.mu
 }
 
-// World is everything around the callers: the store, the servers, the instances
-// and the links between them.
-type World struct {
+// Deployment consists of the store, the servers, the instances and the links between them.
+// Callers use it from outside.
+type Deployment struct {
 	Store     *standin.Store
 	Instances []*Process
 	History   *History
 
 	dir       string
-	places    []*place
+	endpoints []*endpoint
 	storeHTTP *http.Server
 
-	mu      sync.Mutex
-	version int // of the newest configuration
-	serial  int // of the newest server
-	probes  atomic.Int64
-	group   sync.WaitGroup
-	stop    context.CancelFunc
+	mu            sync.Mutex
+	configVersion int // version of the newest configuration
+	serverCount   int // number of server ids given out
+	probeCount    atomic.Int64
+	group         sync.WaitGroup
+	stop          context.CancelFunc
 }
 
-// options of a World.
-type worldOptions struct {
-	Binary string // the program
-	Run    int    // tells apart worlds that run at once
+// deploymentOptions configures a Deployment.
+type deploymentOptions struct {
+	Binary string // path of the executable
+	Run    int    // sets the addresses; concurrent deployments need different values modulo 250
 }
 
-// newWorld starts the store, the servers and the instances.
-func newWorld(o worldOptions) (_ *World, err error) {
-	w := &World{Store: &standin.Store{}, History: newHistory()}
+// newDeployment starts the store, the servers and the instances.
+func newDeployment(o deploymentOptions) (_ *Deployment, err error) {
+	d := &Deployment{Store: &standin.Store{}, History: newHistory()}
 	ctx, stop := context.WithCancel(context.Background())
-	w.stop = stop
+	d.stop = stop
 	defer func() {
 		if err != nil {
-			w.Close()
+			d.Close()
 		}
 	}()
-	if w.dir, err = os.MkdirTemp("", "soak-"); err != nil {
+	if d.dir, err = os.MkdirTemp("", "soak-"); err != nil {
 		return nil, errors.WithStack(err)
 	}
-	if err := w.Configure(); err != nil {
+	if err := d.WriteNextConfig(); err != nil {
 		return nil, err
 	}
 	domains := []string{"east", "west"}
-	for _, d := range domains {
-		for range enginesPerDomain {
-			if err := w.addPlace(d, standin.ServiceEngines); err != nil {
+	for _, domain := range domains {
+		for range engineServersPerDomain {
+			if err := d.addEndpoint(domain, standin.ServiceEngines); err != nil {
 				return nil, err
 			}
 		}
-		for range desksPerDomain {
-			if err := w.addPlace(d, standin.ServicePlain); err != nil {
+		for range plainServersPerDomain {
+			if err := d.addEndpoint(domain, standin.ServicePlain); err != nil {
 				return nil, err
 			}
 		}
 	}
-	w.group.Go(func() { w.heartbeats(ctx) })
-	addr, err := w.serveStore()
+	d.group.Go(func() { d.heartbeats(ctx) })
+	addr, err := d.serveStore()
 	if err != nil {
 		return nil, err
 	}
 	for n := range instancesPerDomain * len(domains) {
 		p, err := newProcess(processOptions{
-			Binary: o.Binary, Dir: w.dir, IP: fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, o.Run%250, n+1),
+			Binary: o.Binary, Dir: d.dir, IP: fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%250, o.Run%250, n+1),
 			Name: fmt.Sprint("front-", n), Domain: domains[n%len(domains)], Domains: domains, StoreAddr: addr,
 		})
 		if err != nil {
 			return nil, err
 		}
-		w.Instances = append(w.Instances, p)
+		d.Instances = append(d.Instances, p)
 	}
-	for _, p := range w.Instances {
+	for _, p := range d.Instances {
 		if err := p.Start(); err != nil {
 			return nil, err
 		}
 	}
-	return w, nil
+	return d, nil
 }
 
-// serveStore opens the store's address. Instances reach each other by the links
-// that it names.
-func (w *World) serveStore() (string, error) {
+// serveStore serves the store and returns its address. In place of the instances' peer
+// addresses, the store returns those of the links to the instances.
+func (d *Deployment) serveStore() (string, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return "", errors.WithStack(err)
 	}
-	w.storeHTTP = &http.Server{Handler: standin.MapOwners(w.Store, w.peerLinks), ReadHeaderTimeout: time.Second}
-	w.group.Go(func() { _ = w.storeHTTP.Serve(l) }) // ends when it is closed
+	d.storeHTTP = &http.Server{Handler: standin.MapOwners(d.Store, d.peerLinkAddrs), ReadHeaderTimeout: time.Second}
+	d.group.Go(func() { _ = d.storeHTTP.Serve(l) }) // ends when it is closed
 	return l.Addr().String(), nil
 }
 
-func (w *World) peerLinks() map[string]string {
+// peerLinkAddrs maps the instances' peer addresses to the addresses of their links.
+func (d *Deployment) peerLinkAddrs() map[string]string {
 	links := map[string]string{}
-	for _, p := range w.Instances {
-		links[p.Node.PeerAddr] = p.Peers.Addr
+	for _, p := range d.Instances {
+		links[p.Node.PeerAddr] = p.PeerLink.Addr
 	}
 	return links
 }
 
-// addPlace opens an address with a server of a service.
-func (w *World) addPlace(domain, service string) error {
+// addEndpoint opens an address and starts a server of the given service there.
+func (d *Deployment) addEndpoint(domain, service string) error {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return errors.WithStack(err)
 	}
-	p := &place{domain: domain, home: service}
-	p.http = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
-		p.server.Load().ServeHTTP(rw, r)
+	e := &endpoint{domain: domain, homeService: service}
+	e.http = &http.Server{ReadHeaderTimeout: time.Second, Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+		e.server.Load().ServeHTTP(rw, r)
 	})}
-	w.group.Go(func() { _ = p.http.Serve(l) }) // ends when it is closed
-	if p.link, err = NewProxy(l.Addr().String()); err != nil {
+	d.group.Go(func() { _ = e.http.Serve(l) }) // ends when it is closed
+	if e.link, err = NewProxy(l.Addr().String()); err != nil {
 		return err
 	}
-	w.places = append(w.places, p)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.startServer(p, "", service)
+	d.endpoints = append(d.endpoints, e)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.startServer(e, "", service)
 	return nil
 }
 
-// startServer starts a server at a place: with an id that it had, or a new one.
-// It holds nothing. The lock is held.
-func (w *World) startServer(p *place, id, service string) {
+// startServer starts a server that holds no models at an endpoint, under the given id or a
+// new one if id is empty. The caller holds the lock.
+func (d *Deployment) startServer(e *endpoint, id, service string) {
 	if id == "" {
-		w.serial++
-		id = fmt.Sprintf("%s-%d", service, w.serial)
+		d.serverCount++
+		id = fmt.Sprintf("%s-%d", service, d.serverCount)
 	}
-	p.opts = standin.ServerOptions{
-		ID: id, Service: service, Addr: p.link.Addr, Domain: p.domain, Slots: serverSlots,
-		LoadTime: modelLoad, Events: streamEvents, Pause: eventPause, Observer: w.History,
+	e.opts = standin.ServerOptions{
+		ID: id, Service: service, Addr: e.link.Addr, Domain: e.domain, Slots: serverSlots,
+		LoadTime: modelLoadTime, Events: eventsPerStream, Pause: eventInterval, Observer: d.History,
 	}
-	p.server.Store(standin.NewServer(w.Store, p.opts))
-	p.down.Store(false)
-	p.link.Set(LinkState{})
+	e.server.Store(standin.NewServer(d.Store, e.opts))
+	e.down.Store(false)
+	e.link.Set(LinkState{})
 }
 
-// Crash ends a place's server without a word.
-func (w *World) Crash(p *place) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	p.down.Store(true)
-	p.server.Load().Stop()
-	p.link.Set(LinkState{Refuse: true})
+// Crash stops an endpoint's server without notice and resets its connections. The server's
+// entry stays in the store until it expires.
+func (d *Deployment) Crash(e *endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	e.down.Store(true)
+	e.server.Load().Stop()
+	e.link.Set(LinkState{Refuse: true})
 }
 
-// Revive starts a crashed server again, empty: under its id, or where reuse is
-// set, as a server of the other service at the same address.
-func (w *World) Revive(p *place, reuse bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !p.down.Load() {
+// Restart starts a server without models in place of a crashed one: under the same id or, if
+// otherService is set, under a new id as a server of the other service. Restart does nothing
+// if the endpoint's server has not crashed.
+func (d *Deployment) Restart(e *endpoint, otherService bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !e.down.Load() {
 		return
 	}
-	id, service := p.opts.ID, p.opts.Service
-	if reuse {
-		p.server.Load().Remove()
+	id, service := e.opts.ID, e.opts.Service
+	if otherService {
+		e.server.Load().Remove()
 		id, service = "", standin.OtherService(service)
 	}
-	w.startServer(p, id, service)
+	d.startServer(e, id, service)
 }
 
-// restore gives a place back to its service, where faults that overlapped left
-// the other one's server there: else a service could be left with one server, and
-// refuse rightly while that leaves.
-func (w *World) restore(p *place) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if p.opts.Service == p.home {
+// restoreService starts a server of the endpoint's own service if overlapping faults left one
+// of the other service there. Otherwise a service could be left with one server, and
+// refusals while that server leaves would be correct.
+func (d *Deployment) restoreService(e *endpoint) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if e.opts.Service == e.homeService {
 		return
 	}
-	p.server.Load().Remove()
-	p.link.Reset()
-	w.startServer(p, "", p.home)
+	e.server.Load().Remove()
+	e.link.Reset()
+	d.startServer(e, "", e.homeService)
 }
 
-// Replace has a place's server leave in order, and starts a new one once it has
-// had time for what it had in hand.
-func (w *World) Replace(p *place, after time.Duration) {
-	server := p.server.Load()
+// Replace drains an endpoint's server and starts a new one of the same service after
+// delay. Until then, the old server can complete its requests in flight.
+func (d *Deployment) Replace(e *endpoint, delay time.Duration) {
+	server := e.server.Load()
 	server.Drain()
-	time.Sleep(after)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if p.down.Load() || p.server.Load() != server {
-		return // it crashed meanwhile
+	time.Sleep(delay)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if e.down.Load() || e.server.Load() != server {
+		return // crashed or replaced meanwhile
 	}
 	server.Remove()
-	p.link.Reset()
-	w.startServer(p, "", p.opts.Service)
+	e.link.Reset()
+	d.startServer(e, "", e.opts.Service)
 }
 
-// Configure puts the next version of the configuration in force.
-func (w *World) Configure() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.version++
-	w.History.configured(w.version)
-	return w.Store.PutConfig(standin.Config(w.version))
+// WriteNextConfig writes the next version of the configuration to the store.
+func (d *Deployment) WriteNextConfig() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.configVersion++
+	d.History.addConfigVersion(d.configVersion)
+	return d.Store.PutConfig(standin.Config(d.configVersion))
 }
 
 // RewriteConfig writes the newest configuration again, as the operator does after the store
 // is restored from an older copy.
-func (w *World) RewriteConfig() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.Store.PutConfig(standin.Config(w.version))
+func (d *Deployment) RewriteConfig() error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.Store.PutConfig(standin.Config(d.configVersion))
 }
 
-// Version returns the version of the newest configuration.
-func (w *World) Version() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.version
+// ConfigVersion returns the version of the newest configuration.
+func (d *Deployment) ConfigVersion() int {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.configVersion
 }
 
-// heartbeats writes the entries of the servers that run.
-func (w *World) heartbeats(ctx context.Context) {
-	ticker := time.NewTicker(heartbeatEvery)
+// heartbeats writes the entries of running servers and removes expired ones until ctx ends.
+func (d *Deployment) heartbeats(ctx context.Context) {
+	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
-	gone := map[*place]time.Time{}
+	downSince := map[*endpoint]time.Time{}
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			for _, p := range w.places {
-				w.heartbeat(p, gone, now)
+			for _, e := range d.endpoints {
+				d.heartbeat(e, downSince, now)
 			}
 		}
 	}
 }
 
-// heartbeat writes one server's entry, or drops it once it has lapsed.
-func (w *World) heartbeat(p *place, gone map[*place]time.Time, now time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if !p.down.Load() {
-		delete(gone, p)
-		p.server.Load().Heartbeat()
+// heartbeat writes one server's entry, or removes the entry once it has expired. downSince
+// holds when each crashed server was first seen down.
+func (d *Deployment) heartbeat(e *endpoint, downSince map[*endpoint]time.Time, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if !e.down.Load() {
+		delete(downSince, e)
+		e.server.Load().Heartbeat()
 		return
 	}
-	since, ok := gone[p]
+	since, ok := downSince[e]
 	if !ok {
-		gone[p] = now
-	} else if now.Sub(since) > lapseAfter {
-		p.server.Load().Remove()
+		downSince[e] = now
+	} else if now.Sub(since) > entryTTL {
+		e.server.Load().Remove()
 	}
 }
 
-// Heal ends every fault: links pass, programs run, servers are up.
-func (w *World) Heal() error {
-	w.Store.SetDown(false)
-	w.Store.SetLossy(false)
-	for _, p := range w.places {
-		w.Revive(p, false)
-		w.restore(p)
+// Heal ends all faults: the store and the links work, and all servers and instances run.
+func (d *Deployment) Heal() error {
+	d.Store.SetDown(false)
+	d.Store.SetLossy(false)
+	for _, p := range d.endpoints {
+		d.Restart(p, false)
+		d.restoreService(p)
 		p.link.Set(LinkState{})
 	}
-	for _, p := range w.Instances {
+	for _, p := range d.Instances {
 		for _, link := range p.links() {
 			link.Set(LinkState{})
 		}
 	}
-	w.History.healed()
-	for _, p := range w.Instances {
+	d.History.addHeal()
+	for _, p := range d.Instances {
 		if err := p.Start(); err != nil {
 			return err
 		}
@@ -314,28 +318,30 @@
 	return nil
 }
 
-// serverIDAt returns the id of the server at a place.
-func (w *World) serverIDAt(p *place) string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return p.opts.ID
+// serverIDAt returns the id of the server at an endpoint.
+func (d *Deployment) serverIDAt(e *endpoint) string {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return e.opts.ID
 }
 
-// anyPlace returns a place that the seed picks.
-func (w *World) anyPlace(rng *rand.Rand) *place { return w.places[rng.IntN(len(w.places))] }
+// randomEndpoint returns an endpoint that rng picks.
+func (d *Deployment) randomEndpoint(rng *rand.Rand) *endpoint {
+	return d.endpoints[rng.IntN(len(d.endpoints))]
+}
 
-// Close ends everything.
-func (w *World) Close() {
-	w.stop()
-	for _, p := range w.Instances {
+// Close stops the instances, the servers, the links and the store.
+func (d *Deployment) Close() {
+	d.stop()
+	for _, p := range d.Instances {
 		p.Close()
 	}
-	for _, p := range w.places {
-		_ = p.http.Close() // nothing is lost by it
+	for _, p := range d.endpoints {
+		_ = p.http.Close() // the deployment ends anyway
 		p.link.Close()
 	}
-	if w.storeHTTP != nil {
-		_ = w.storeHTTP.Close() // the same
+	if d.storeHTTP != nil {
+		_ = d.storeHTTP.Close() // the deployment ends anyway
 	}
-	w.group.Wait()
+	d.group.Wait()
 }
