--- a/decide/filter.go
+++ b/decide/filter.go
@@ -108,8 +108,7 @@
 // prefill rate of a model's servers, requests wait at this instance instead of at a server
 // for their first token: here the request with the nearest goal is served first, and
 // others can still be refused as not run. It also keeps prefill from stalling the streams
-// that run on the server. With this filter 56 instead of 48 of 100 of the most urgent
-// requests were served in time (20 simulated days of shifting demand).
+// that run on the server.
 type prefillFilter struct{}
 
 func (prefillFilter) keep(s *Scheduler, _ time.Time, _ *requestState, c *candidate) bool {
--- a/decide/fleet.go
+++ b/decide/fleet.go
@@ -57,7 +57,7 @@
 }
 
 // holdTime returns the mean number of seconds that an attempt holds its slot, or
-// unknownService while there are too few samples.
+// defaultServiceTime while there are too few samples.
 func (p *poolState) holdTime() float64 {
 	if p.held.warm() {
 		return p.held.mean
--- a/entry/holding.go
+++ b/entry/holding.go
@@ -189,7 +189,7 @@
 	o.meter.Generated(time.Now(), target, o.domainOf(server), outcome.Tokens)
 }
 
-// Reported implements caller.Observer.
+// ReportLoad implements caller.Observer.
 func (o *observer) ReportLoad(server string, load infra.Load) {
 	o.loads.Record(time.Now(), server, load)
 }
--- a/entry/operators.go
+++ b/entry/operators.go
@@ -14,7 +14,7 @@
 	PathReady   = "/readyz"     // status 200 while the instance is ready for callers, else 503 with the reasons
 	PathMetrics = "/debug/vars" // JSON, as written by package expvar
 	PathStatus  = "/status"     // a Status
-	PathExplain = "/explain"    // a config.Explained: each setting with its source
+	PathExplain = "/explain"    // a config.Explanation: each setting with its source
 )
 
 // operatorsHandler returns the handler for the operators' address.
--- a/entry/quarantine.go
+++ b/entry/quarantine.go
@@ -61,7 +61,7 @@
 	return since
 }
 
-// Crashed implements caller.Quarantine. It returns once the crash is on the log or
+// ReportCrash implements caller.Quarantine. It returns once the crash is on the log or
 // crashReportTimeout has passed.
 func (q *quarantine) ReportCrash(ctx context.Context, c *record.Crash) {
 	ctx, cancel := context.WithTimeout(ctx, crashReportTimeout)
--- a/instance/metrics.go
+++ b/instance/metrics.go
@@ -73,27 +73,27 @@
 	m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}, value))
 }
 
-// Ended implements relay.Metrics.
+// ObserveRequest implements relay.Metrics.
 func (m *metrics) ObserveRequest(outcome string, duration time.Duration) {
 	m.requests.WithLabelValues(outcome).Inc()
 	m.duration.Observe(duration.Seconds())
 }
 
-// FirstByte implements relay.Metrics.
+// ObserveFirstByte implements relay.Metrics.
 func (m *metrics) ObserveFirstByte(took time.Duration) { m.firstByte.Observe(took.Seconds()) }
 
-// Waited implements relay.Metrics.
+// ObserveQueueTime implements relay.Metrics.
 func (m *metrics) ObserveQueueTime(took time.Duration) { m.wait.Observe(took.Seconds()) }
 
-// Gap implements relay.Metrics.
+// ObserveStreamGap implements relay.Metrics.
 func (m *metrics) ObserveStreamGap(longest time.Duration) { m.eventGap.Observe(longest.Seconds()) }
 
-// Decided implements relay.Metrics.
+// CountDecision implements relay.Metrics.
 func (m *metrics) CountDecision(action, reason string) {
 	m.decisions.WithLabelValues(action, reason).Inc()
 }
 
-// SentLimited implements relay.Metrics.
+// CountRateLimitedAttempt implements relay.Metrics.
 func (m *metrics) CountRateLimitedAttempt() { m.sentRateLimited.Inc() }
 
 // countOrder counts an order to a server by its result.
--- a/residency/plan.go
+++ b/residency/plan.go
@@ -13,9 +13,7 @@
 	// take before another replica helps at all; below it a server isn't busy.
 	replicaBatchShare = 0.12
 	// replicaWorkShare is the share of a server's time that a model's work may take
-	// before another replica helps. Lowering replicaWorkShare and replicaBatchShare
-	// from 0.6 and 0.20 to 0.45 and 0.12 raised the share served of 60 simulated days
-	// of moving demand, weighted by value, from 70 % to 72 %.
+	// before another replica helps.
 	replicaWorkShare = 0.45
 	// serverShareSlack is how many servers a model may get for each server that its
 	// share of the pool's total demand amounts to. All models on a server share its
--- a/soak/history.go
+++ b/soak/history.go
@@ -50,14 +50,14 @@
 
 func newHistory() *History { return &History{configTimes: map[int]time.Time{}} }
 
-// Arrived implements standin.Observer.
+// OnRequest implements standin.Observer.
 func (h *History) OnRequest(a standin.Arrival) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.arrivals = append(h.arrivals, a)
 }
 
-// Ordered implements standin.Observer.
+// OnOrder implements standin.Observer.
 func (h *History) OnOrder(o standin.Order) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
