--- a/claims/errors.go
+++ b/claims/errors.go
@@ -23,7 +23,7 @@
 
 // Error implements error.
 func (e *NotReadyError) Error() string {
-	return fmt.Sprintf("shard %d has not been read completely yet", e.Shard)
+	return fmt.Sprintf("shard %d isn't read yet", e.Shard)
 }
 
 // FullError reports that a shard has reached MaxClaimsPerShard.
@@ -34,7 +34,7 @@
 
 // Error implements error.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("shard %d is full with %d claims", e.Shard, e.Claims)
+	return fmt.Sprintf("shard %d remembers %d claims", e.Shard, e.Claims)
 }
 
 // String returns the verdict's name for logs.
--- a/cmd/greengageferry/check.go
+++ b/cmd/greengageferry/check.go
@@ -59,7 +59,7 @@
 }
 
 // reportConfigError prints err for the subcommand and returns the exit code:
-// exitRefused for a *config.Refusal.
+// exitRefused for a *config.ValidationError.
 func reportConfigError(command string, err error) subcommands.ExitStatus {
 	var refusal *config.ValidationError
 	if errors.As(err, &refusal) {
